--- a/features/steps/configuration_membership_steps.py
+++ b/features/steps/configuration_membership_steps.py
@@ -57,7 +57,7 @@
                     self.ever_lost |= {(me, other) for other in found}
 
     def greet_all(self, me: str, paused: str) -> None:
-        for other in choose_contacts(self.view(me), strangers=(), rng=self.rng):
+        for other in choose_contacts(self.view(me), unknown_addresses=(), rng=self.rng):
             self.asked[me][other] = self.now
             if other == paused or self.is_cut(me, other):
                 continue
--- a/features/steps/jobs_guarantee_steps.py
+++ b/features/steps/jobs_guarantee_steps.py
@@ -9,8 +9,8 @@
 from features.support.jobs_world import World, make_machines
 from firladder._internal.exceptions import GuaranteesDoNotFit
 from firladder._internal.models.configuration import Cell, Organisation
+from firladder._internal.policies.cell_packing import place_cells
 from firladder._internal.policies.cells import find_degraded
-from firladder._internal.policies.fitting import place_cells
 
 NAMES = ("alpin", "berg", "civic")
 SIZES = (1, 2, 3, 4, 6, 8, 16, 24, 32)
--- a/features/steps/jobs_worker_steps.py
+++ b/features/steps/jobs_worker_steps.py
@@ -7,20 +7,20 @@
 from firladder._internal.policies.placement import Finish
 from firladder._internal.policies.quarantine import (
     PROBE_AFTER_S,
-    Conduct,
+    WorkerHealth,
     is_at_fault,
 )
-from firladder._internal.policies.selection import Selector, parse_selector
+from firladder._internal.policies.selectors import Selector, parse_selector
 
 
 class ConductCheck:
     """What a worker's failures lead to."""
 
     def __init__(self, failures: int) -> None:
-        self.conduct = Conduct()
+        self.conduct = WorkerHealth()
         for number in range(failures):
-            self.conduct.note_failure(f"job-{number}", 100.0)
-            self.conduct.note_failure(f"job-{number}", 100.0)
+            self.conduct.record_failure(f"job-{number}", 100.0)
+            self.conduct.record_failure(f"job-{number}", 100.0)
 
 
 class SelectorCheck:
@@ -55,22 +55,22 @@
 @then("the worker takes nothing new")
 def check_closed(context):
     assert context.conduct.quarantined
-    assert not context.conduct.may_take(100.0 + PROBE_AFTER_S - 1, busy=False)
+    assert not context.conduct.accepts_work(100.0 + PROBE_AFTER_S - 1, busy=False)
 
 
 @then("after the quarantine it takes one probe and no second job beside it")
 def check_probe(context):
-    assert context.conduct.may_take(100.0 + PROBE_AFTER_S, busy=False)
-    assert not context.conduct.may_take(100.0 + PROBE_AFTER_S, busy=True)
+    assert context.conduct.accepts_work(100.0 + PROBE_AFTER_S, busy=False)
+    assert not context.conduct.accepts_work(100.0 + PROBE_AFTER_S, busy=True)
 
 
 @then("a failed probe doubles the quarantine, and a success ends it")
 def check_return(context):
     at = 100.0 + PROBE_AFTER_S
-    context.conduct.note_failure("probe", at)
-    assert not context.conduct.may_take(at + 2 * PROBE_AFTER_S - 1, busy=False)
-    assert context.conduct.may_take(at + 2 * PROBE_AFTER_S, busy=False)
-    context.conduct.note_success()
+    context.conduct.record_failure("probe", at)
+    assert not context.conduct.accepts_work(at + 2 * PROBE_AFTER_S - 1, busy=False)
+    assert context.conduct.accepts_work(at + 2 * PROBE_AFTER_S, busy=False)
+    context.conduct.record_success()
     assert not context.conduct.quarantined
 
 
--- a/features/steps/product_fuzz_steps.py
+++ b/features/steps/product_fuzz_steps.py
@@ -14,7 +14,7 @@
 from firladder._internal.models.message import Envelope, FetchDomain
 from firladder._internal.models.request import ServiceRequest
 from firladder._internal.network.fabric import Fabric
-from firladder._internal.policies.selection import Selector, parse_selector
+from firladder._internal.policies.selectors import Selector, parse_selector
 from firladder._internal.utils.clocks import LogicalClock
 from firladder._internal.utils.codec import decode_json
 from firladder._internal.utils.settings import check_labels, read_settings
--- a/features/steps/requests_load_steps.py
+++ b/features/steps/requests_load_steps.py
@@ -9,9 +9,9 @@
 )
 from firladder._internal.policies.dispatching import ServiceQueues, find_policies
 from firladder._internal.policies.queueing import UrgencyQueue
-from firladder._internal.policies.requests import WaitingRequest
+from firladder._internal.policies.request_views import WaitingRequest
 from firladder._internal.policies.retrying import RetryBudget
-from firladder._internal.policies.selection import Selector
+from firladder._internal.policies.selectors import Selector
 from firladder._internal.policies.sharing import share_by_demand
 
 SEEDS = (1,)
--- a/features/support/jobs_world.py
+++ b/features/support/jobs_world.py
@@ -4,16 +4,16 @@
 
 from firladder._internal.models.job import JobSpec
 from firladder._internal.models.machine import Machine
-from firladder._internal.policies.catalogue import PLACEMENTS
 from firladder._internal.policies.placement import (
     DomainView,
-    Evict,
     Place,
+    Preempt,
     QueuedJob,
     RunningJob,
     WorkerView,
 )
-from firladder._internal.policies.selection import Selector
+from firladder._internal.policies.placement_catalogue import PLACEMENTS
+from firladder._internal.policies.selectors import Selector
 
 MOST_PASSES = 12
 
@@ -102,7 +102,7 @@
 
     def act(self, actions) -> list[RunningJob]:
         """Carry actions out and return the gangs that were evicted."""
-        evicted = [self.running.pop(a.job) for a in actions if isinstance(a, Evict)]
+        evicted = [self.running.pop(a.job) for a in actions if isinstance(a, Preempt)]
         for gang in evicted:
             self.queue[gang.spec.id] = QueuedJob(
                 gang.spec, gang.organisation, gang.urgency, gang.workers, self.now
--- a/src/firladder/_internal/commands/check.py
+++ b/src/firladder/_internal/commands/check.py
@@ -30,7 +30,7 @@
         from ..exceptions import Failure, MalformedBody
         from ..models.configuration import ChangeSet, Configuration
         from ..models.machine import Machine
-        from ..policies.configuring import apply_changes
+        from ..policies.configuration_changes import apply_changes
         from ..utils.codec import decode_json
 
         workers_file = settings["workers"].value
--- a/src/firladder/_internal/commands/evaluate.py
+++ b/src/firladder/_internal/commands/evaluate.py
@@ -7,7 +7,7 @@
 from ..evaluation.loads import LOADS
 from ..evaluation.report import evaluate, format_table
 from ..exceptions import SettingError
-from ..policies.catalogue import PLACEMENTS
+from ..policies.placement_catalogue import PLACEMENTS
 from ..utils.settings import Resolved, Setting, check_text
 from .registry import Command
 
--- a/src/firladder/_internal/evaluation/driver.py
+++ b/src/firladder/_internal/evaluation/driver.py
@@ -15,15 +15,15 @@
 from ..policies.placement import (
     Action,
     DomainView,
-    Evict,
     Place,
     PlacementPolicy,
+    Preempt,
     QueuedJob,
     RunningJob,
     WorkerView,
 )
-from ..policies.quarantine import Conduct, is_at_fault
-from ..policies.selection import Selector
+from ..policies.quarantine import WorkerHealth, is_at_fault
+from ..policies.selectors import Selector
 from .loads import DOMAIN, Arrival, Load
 from .measures import Sample, Span
 
@@ -82,7 +82,7 @@
         self._running: dict[str, RunningJob] = {}
         self._workers: dict[str, Machine] = {w.name: w for w in load.workers}
         self._dead: set[str] = set()
-        self._conduct: dict[str, Conduct] = defaultdict(Conduct)
+        self._conduct: dict[str, WorkerHealth] = defaultdict(WorkerHealth)
         self._history = RunHistory()
         self._not_before: dict[str, float] = {}
         self._numbers = itertools.count()
@@ -150,7 +150,7 @@
 
     def _stop(self, gang: RunningJob, kind: str, after_s: float) -> None:
         job = gang.spec.id
-        self._running[job] = dataclasses.replace(gang, evicting=True)
+        self._running[job] = dataclasses.replace(gang, stopping=True)
         self.traces[job].attempts += 1
         self._post(self.now + after_s, kind, job, self.traces[job].attempts)
 
@@ -161,9 +161,9 @@
         if kind == "done":
             self._finish(trace, "done")
             if trace.saved_s == 0.0:
-                self._history.note(spec, spec.organisation, ran_s)
+                self._history.record_run(spec, spec.organisation, ran_s)
             for member in gang.members:
-                self._conduct[member.worker].note_success()
+                self._conduct[member.worker].record_success()
         elif kind == "cancelled":
             self._finish(trace, "cancelled")
         elif kind == "failed":
@@ -187,7 +187,7 @@
             m.worker for m in gang.members if m.worker in self._load.faulty_workers
         )
         spec = trace.arrival.spec
-        self._conduct[bad].note_failure(spec.id, self.now)
+        self._conduct[bad].record_failure(spec.id, self.now)
         if not self._conduct[bad].quarantined:
             trace.avoid |= {bad}
         quarantined = {w for w, c in self._conduct.items() if c.quarantined}
@@ -199,7 +199,7 @@
     def _lose_workers(self) -> None:
         self._dead |= self._load.lost_workers
         for gang in list(self._running.values()):
-            if not gang.evicting and any(m.worker in self._dead for m in gang.members):
+            if not gang.stopping and any(m.worker in self._dead for m in gang.members):
                 self._stop(gang, "lost", LAPSE_S)
 
     def _mark_owed(self, arrived: list[str]) -> None:
@@ -254,7 +254,7 @@
                     w.memory_mb - memory[w.name],
                     {"name": w.name},
                     w.name not in self._dead
-                    and self._conduct[w.name].may_take(
+                    and self._conduct[w.name].accepts_work(
                         self.now, busy=bool(used[w.name])
                     ),
                 )
@@ -279,9 +279,9 @@
     def _act(self, action: Action) -> None:
         if isinstance(action, Place):
             self._start(action)
-        elif isinstance(action, Evict):
+        elif isinstance(action, Preempt):
             gang = dataclasses.replace(
-                self._running[action.job], evicted_for=action.beneficiary
+                self._running[action.job], preempted_for=action.beneficiary
             )
             self._stop(gang, "evicted", STOP_S)
         else:
--- a/src/firladder/_internal/evaluation/report.py
+++ b/src/firladder/_internal/evaluation/report.py
@@ -3,7 +3,7 @@
 import dataclasses
 from collections.abc import Iterable, Sequence
 
-from ..policies.catalogue import PLACEMENTS
+from ..policies.placement_catalogue import PLACEMENTS
 from .driver import Driver, Trace
 from .loads import LOADS, WORKER_ACCELERATORS, make_organisations
 from .measures import find_percentile, measure_blocked, measure_fragmentation
--- a/src/firladder/_internal/evaluation/requests.py
+++ b/src/firladder/_internal/evaluation/requests.py
@@ -19,8 +19,8 @@
 from ..models.configuration import Configuration, Urgency
 from ..models.machine import Machine
 from ..policies.dispatching import DispatchPolicies, ServiceQueues
-from ..policies.requests import WaitingRequest
-from ..policies.selection import Selector
+from ..policies.request_views import WaitingRequest
+from ..policies.selectors import Selector
 
 SERVICE = "planwerk"
 TARGETS = 24
@@ -240,7 +240,7 @@
             arrival = self._arrivals.pop(req.id)
             wait_s = now - req.arrived_at
             self.outcomes.longest_wait_s = max(self.outcomes.longest_wait_s, wait_s)
-            table.states[name].score.note_sent(req.id, now)
+            table.states[name].score.record_sent(req.id, now)
             gateway.in_flight += 1
             self._begin(gateway, req, arrival, name, now)
 
@@ -267,14 +267,14 @@
             if target.waiting:
                 target.waiting.popleft()(at)
             score = gateway.table.states[name].score
-            score.note_back(req.id)
+            score.record_end(req.id)
             gateway.in_flight -= 1
             if fails:
-                gateway.table.note_failure(name, at)
+                gateway.table.record_failure(name, at)
                 self.outcomes.failed[req.organisation] += 1
                 self._open -= 1
             else:
-                gateway.table.note_success(name, at - now, at)
+                gateway.table.record_success(name, at - now, at)
                 self._note_end(req, arrival, at)
             self._send_ready(gateway, at)
 
--- a/src/firladder/_internal/evaluation/speed.py
+++ b/src/firladder/_internal/evaluation/speed.py
@@ -13,7 +13,7 @@
 )
 from ..measure.series import Series
 from ..models.job import JobRecord
-from ..policies.catalogue import PLACEMENTS
+from ..policies.placement_catalogue import PLACEMENTS
 from ..scheduler.books import Books
 
 WORKERS, TASKS, QUEUE = 217, 3200, 100
--- a/src/firladder/_internal/fleet/configuration.py
+++ b/src/firladder/_internal/fleet/configuration.py
@@ -14,7 +14,7 @@
     Rule,
 )
 from ..models.entry import Delete, Entry, Put
-from ..policies.configuring import PART_FIELDS
+from ..policies.configuration_changes import KIND_FIELDS
 from ..utils.codec import encode_json
 from ..utils.events import Event, Timeline
 
@@ -36,7 +36,7 @@
     """Return the store's form of all parts of a configuration."""
     return [
         Put(f"{PREFIX}{kind}/{name}", encode_json(value))
-        for kind, field in PART_FIELDS.items()
+        for kind, field in KIND_FIELDS.items()
         for name, value in getattr(configuration, field).items()
     ]
 
@@ -55,7 +55,7 @@
 
 def read_configuration(entries: Iterable[Entry]) -> Configuration:
     """Return the configuration that the entries of one revision make up."""
-    parts: dict[str, dict[str, bytes]] = {kind: {} for kind in PART_FIELDS}
+    parts: dict[str, dict[str, bytes]] = {kind: {} for kind in KIND_FIELDS}
     revision = 0
     for entry in entries:
         if entry.key == HEAD_KEY:
--- a/src/firladder/_internal/fleet/membership.py
+++ b/src/firladder/_internal/fleet/membership.py
@@ -23,7 +23,7 @@
     FleetView,
     PeerView,
     choose_contacts,
-    find_forgotten,
+    find_expired,
     find_lost,
     measure_pause,
 )
@@ -139,9 +139,11 @@
         )
 
     def _choose_contacts(self) -> set[str]:
-        strangers = (set(self._seeds) | self._rumoured) - set(self.peers)
+        unknown_addresses = (set(self._seeds) | self._rumoured) - set(self.peers)
         own = {self._describe().identity.address}
-        return choose_contacts(self._view(), strangers=strangers - own, rng=self._rng)
+        return choose_contacts(
+            self._view(), unknown_addresses=unknown_addresses - own, rng=self._rng
+        )
 
     def announce(self, *, role: str) -> None:
         """Send a heartbeat to every living peer of a role now, out of turn."""
@@ -211,7 +213,7 @@
                     role=peer.heartbeat.identity.role,
                     domain=peer.heartbeat.identity.failure_domain,
                 )
-        for address in find_forgotten(view):
+        for address in find_expired(view):
             del self.peers[address]
 
     async def close(self) -> None:
--- a/src/firladder/_internal/gateway/configuration.py
+++ b/src/firladder/_internal/gateway/configuration.py
@@ -26,8 +26,8 @@
 from ..models.api import Accepted
 from ..models.configuration import ChangeSet, Configuration, ConfigurationHead
 from ..models.entry import Committed, Compare, Delete, Entry, Put, Snapshot
-from ..policies.configuring import (
-    RESTORE_GAP,
+from ..policies.configuration_changes import (
+    RESTORE_REVISION_GAP,
     apply_changes,
     choose_base,
     describe_actions,
@@ -92,7 +92,7 @@
         changes: Iterable[Put | Delete] = map(encode_change, change_set.changes)
         if base is not stored:
             fresh = msgspec.structs.replace(
-                fresh, revision=fresh.revision + RESTORE_GAP
+                fresh, revision=fresh.revision + RESTORE_REVISION_GAP
             )
             changes = _replace_all(snapshot.entries, fresh)
         clock = self._timeline.stamp()
--- a/src/firladder/_internal/gateway/dispatch.py
+++ b/src/firladder/_internal/gateway/dispatch.py
@@ -17,8 +17,8 @@
     NotSent,
     SentUnanswered,
 )
-from ..policies.requests import TargetView
-from ..policies.selection import Selector
+from ..policies.request_views import TargetView
+from ..policies.selectors import Selector
 from ..utils.events import Event
 from .pending import Pending
 from .queues import RequestQueues
@@ -82,7 +82,7 @@
             if pending.chart.state == "queued":
                 self._take_out(pending, self._refuse_late(pending.service, now))
             elif pending.target is not None:
-                self._targets.note_failure(pending.target, now)
+                self._targets.record_failure(pending.target, now)
 
     def _refuse_late(self, service: str, now: float) -> DeadlineUnreachable:
         expected_s = self._targets.expect_latency(service)
@@ -103,7 +103,7 @@
         self._end(pending, event, failure=failure)
 
     def _begin_send(self, pending: Pending, target: str, now: float) -> None:
-        self._targets.states[target].score.note_sent(pending.waiting.id, now)
+        self._targets.states[target].score.record_sent(pending.waiting.id, now)
         self.in_flight[pending.service] += 1
         pending.tries += 1
         pending.target = target
@@ -126,7 +126,7 @@
                 timeout_s=max(0.001, pending.waiting.deadline - now + patience_s),
             )
         finally:
-            state.score.note_back(pending.waiting.id)
+            state.score.record_end(pending.waiting.id)
             self.in_flight[pending.service] -= 1
         self._settle(pending, target, answer, now)
         self._wake.set()
@@ -144,7 +144,7 @@
             event = "answer" if answer.status < 400 else "fail"
             self._end(pending, event, target=target, body=answer.body)
             return
-        self._targets.note_failure(target, now)
+        self._targets.record_failure(target, now)
         if isinstance(answer, SentUnanswered):
             pending.may_have_run = True
             self._timeline.record(
@@ -170,9 +170,9 @@
         if answer.status >= 500:
             # A target that fails everything answers fastest, and would draw
             # all work to itself.
-            self._targets.note_failure(target, now)
+            self._targets.record_failure(target, now)
         else:
-            self._targets.note_success(target, latency_s, now)
+            self._targets.record_success(target, latency_s, now)
 
     def _retry(
         self, pending: Pending, answer: NotSent | SentUnanswered, now: float
--- a/src/firladder/_internal/gateway/jobs.py
+++ b/src/firladder/_internal/gateway/jobs.py
@@ -19,8 +19,8 @@
 from ..fleet.configuration import ConfigurationHolder
 from ..models.entry import Committed, Compare, Entry, Put
 from ..models.job import JobRecord, JobSpec
-from ..policies.selection import find_steering
-from ..policies.shifting import choose_domain
+from ..policies.domain_selection import choose_domain
+from ..policies.selectors import find_steering
 from ..utils.clocks import Clock
 from ..utils.codec import encode_json
 from ..utils.events import Event, Timeline
--- a/src/firladder/_internal/gateway/pending.py
+++ b/src/firladder/_internal/gateway/pending.py
@@ -8,8 +8,8 @@
 from ..charts.interpreter import ChartInstance
 from ..exceptions import Failure
 from ..models.request import Outcome, RequestResult, ServiceRequest
-from ..policies.requests import WaitingRequest
-from ..policies.selection import Steering
+from ..policies.request_views import WaitingRequest
+from ..policies.selectors import Steering
 
 
 @dataclasses.dataclass(slots=True, eq=False)
--- a/src/firladder/_internal/gateway/queues.py
+++ b/src/firladder/_internal/gateway/queues.py
@@ -18,9 +18,9 @@
 from ..models.configuration import Organisation
 from ..models.request import ServiceRequest
 from ..policies.dispatching import DispatchPolicies, ServiceQueues
-from ..policies.requests import WaitingRequest
+from ..policies.request_views import WaitingRequest
 from ..policies.retrying import RetryBudget
-from ..policies.selection import Steering
+from ..policies.selectors import Steering
 from ..utils.clocks import Clock
 from ..utils.events import Event, Timeline
 from ..utils.tasks import TaskSet
--- a/src/firladder/_internal/gateway/requests.py
+++ b/src/firladder/_internal/gateway/requests.py
@@ -13,7 +13,7 @@
 from ..fleet.membership import Membership
 from ..models.request import RequestResult, ServiceRequest
 from ..network.fabric import Fabric
-from ..policies.selection import find_steering
+from ..policies.selectors import find_steering
 from ..utils.clocks import Clock
 from ..utils.codec import encode_json
 from ..utils.events import Timeline
--- a/src/firladder/_internal/gateway/targets.py
+++ b/src/firladder/_internal/gateway/targets.py
@@ -7,9 +7,9 @@
 from ..models.configuration import Configuration
 from ..models.machine import Machine
 from ..models.message import Heartbeat
-from ..policies.requests import TargetView
-from ..policies.routing import INITIAL_LATENCY_S, TargetScore, find_typical_latency
-from ..policies.selection import Selector, collect_labels
+from ..policies.request_views import TargetView
+from ..policies.routing import INITIAL_LATENCY_S, TargetStats, find_typical_latency
+from ..policies.selectors import Selector, collect_labels
 from ..policies.sharing import SharingPolicy
 
 Demands = Mapping[str, Mapping[str, int]]
@@ -35,7 +35,7 @@
     """What this gateway remembers of one target."""
 
     machine: Machine
-    score: TargetScore = dataclasses.field(default_factory=TargetScore)
+    score: TargetStats = dataclasses.field(default_factory=TargetStats)
     share: int = 1
     leaving: bool = False
 
@@ -149,7 +149,7 @@
             self._selected[service, selector] = found
         return found
 
-    def note_success(self, name: str, latency_s: float, now: float) -> None:
+    def record_success(self, name: str, latency_s: float, now: float) -> None:
         """Learn from an answer."""
         state = self.states.get(name)
         if state is None:
@@ -159,16 +159,16 @@
         weight = RECOVERY_WEIGHT if latency_s < known_s / 2 else EXPECTED_WEIGHT
         self._expected[service] = known_s + weight * (latency_s - known_s)
         typical_s = self.find_typical_latency(service)
-        state.score.note_success(latency_s, now, typical_s)
+        state.score.record_success(latency_s, now, typical_s)
         self._noted += 1
         if self._noted < TYPICAL_EVERY or self._noted % TYPICAL_EVERY == 0:
             self._typical.clear()
 
-    def note_failure(self, name: str, now: float) -> None:
+    def record_failure(self, name: str, now: float) -> None:
         """Learn from a failure."""
         state = self.states.get(name)
         if state is not None:
-            state.score.note_failure(now)
+            state.score.record_failure(now)
 
     def expect_latency(self, service: str) -> float:
         """Return what the next request is expected to take, from the latest ones.
@@ -234,5 +234,5 @@
         score.failures,
         score.retry_at if trusted else 0.0,
         False,
-        score.find_oldest(now),
+        score.find_oldest_age(now),
     )
--- a/src/firladder/_internal/gateway/tries.py
+++ b/src/firladder/_internal/gateway/tries.py
@@ -11,7 +11,7 @@
     StoreUnavailable,
 )
 from ..models.request import RequestResult, ServiceRequest
-from ..policies.selection import Steering
+from ..policies.selectors import Steering
 from .answers import Answer
 from .ownership import Taken, Unclaimed
 from .pending import refuse
--- a/src/firladder/_internal/measure/decisions.py
+++ b/src/firladder/_internal/measure/decisions.py
@@ -17,8 +17,8 @@
 from ..models.machine import Machine
 from ..models.message import Envelope, Heartbeat, Identity
 from ..models.task import TaskStatus, WorkerReport
-from ..policies.catalogue import PLACEMENTS
-from ..policies.selection import find_steering
+from ..policies.placement_catalogue import PLACEMENTS
+from ..policies.selectors import find_steering
 from ..scheduler.books import Books, GangState
 from ..utils.codec import encode_json
 from .series import Series
--- a/src/firladder/_internal/policies/admission.py
+++ b/src/firladder/_internal/policies/admission.py
@@ -6,7 +6,7 @@
 from ..exceptions import DeadlineUnreachable, Failure, QueueFull
 from ..models.configuration import Urgency
 from .registry import Registry
-from .requests import URGENCY_RANK, ServiceView, WaitingRequest
+from .request_views import URGENCY_RANK, ServiceView, WaitingRequest
 
 AdmissionPolicy = Callable[[ServiceView, WaitingRequest, random.Random], Failure | None]
 
--- a/src/firladder/_internal/policies/backfill.py
+++ b/src/firladder/_internal/policies/backfill.py
@@ -80,7 +80,7 @@
         return self._ends[gang.spec.id]
 
     def _estimate_end(self, gang: RunningJob) -> float:
-        if gang.evicting:
+        if gang.stopping:
             return self._now
         ran_s = max(0.0, self._now - gang.started_at)
         left_s = self.estimate(gang.spec, gang.organisation) - ran_s
--- a/src/firladder/_internal/policies/cells.py
+++ b/src/firladder/_internal/policies/cells.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from ..models.job import JobSpec, Member
-from .fitting import Bay, Need, Packing, Slot, list_slots, pack_needs
+from .cell_packing import Bay, Need, Packing, Slot, list_slots, pack_needs
 from .placement import DomainView, QueuedJob, Room, RunningJob, WorkerView
 
 Cost = Callable[[str], float]
@@ -91,7 +91,7 @@
             (
                 (g, by_name[g.organisation, g.cell])
                 for g in self.view.running
-                if g.cell and not g.evicting and (g.organisation, g.cell) in by_name
+                if g.cell and not g.stopping and (g.organisation, g.cell) in by_name
             ),
             key=lambda item: (item[0].started_at, item[0].spec.id),
         )
--- a/src/firladder/_internal/policies/configuring.py
+++ b/src/firladder/_internal/policies/configuration_changes.py
@@ -24,18 +24,18 @@
 )
 from ..models.machine import Machine
 from ..utils.codec import decode_json
-from .fitting import place_cells
-from .selection import parse_selector
+from .cell_packing import place_cells
+from .selectors import parse_selector
 
 PART_TYPES: dict[str, type] = {
     "organisation": Organisation,
     "rule": Rule,
     "labels": Labels,
 }
-PART_FIELDS = {"organisation": "organisations", "rule": "rules", "labels": "labels"}
+KIND_FIELDS = {"organisation": "organisations", "rule": "rules", "labels": "labels"}
 
 
-RESTORE_GAP = 10_000
+RESTORE_REVISION_GAP = 10_000
 """Revisions left out when a store restored from an old copy is brought up to
 date: three days of changes that others may have been told are accepted."""
 
@@ -77,7 +77,7 @@
             field="expected_revision",
             revision=base.revision,
         )
-    parts = {kind: dict(getattr(base, f)) for kind, f in PART_FIELDS.items()}
+    parts = {kind: dict(getattr(base, f)) for kind, f in KIND_FIELDS.items()}
     for number, change in enumerate(change_set.changes):
         failure = _apply_change(parts, change, f"changes[{number}]")
         if failure is not None:
@@ -108,8 +108,8 @@
     """Return what each change does to the configuration."""
     actions: dict[str, Action] = {}
     for change in changes:
-        before = getattr(base, PART_FIELDS[change.kind]).get(change.name)
-        after = getattr(fresh, PART_FIELDS[change.kind]).get(change.name)
+        before = getattr(base, KIND_FIELDS[change.kind]).get(change.name)
+        after = getattr(fresh, KIND_FIELDS[change.kind]).get(change.name)
         actions[f"{change.kind}/{change.name}"] = _name_action(before, after)
     return actions
 
--- a/src/firladder/_internal/policies/dispatching.py
+++ b/src/firladder/_internal/policies/dispatching.py
@@ -11,9 +11,9 @@
 from ..exceptions import DeadlineUnreachable, Failure
 from .admission import ADMISSIONS, AdmissionPolicy, spread_return
 from .queueing import QUEUES, QueueCounts, RequestQueue
-from .requests import ServiceView, TargetView, WaitingRequest
+from .request_views import ServiceView, TargetView, WaitingRequest
 from .routing import ROUTINGS, RoutingPolicy
-from .selection import Selector
+from .selectors import Selector
 from .sharing import SHARINGS, SharingPolicy
 
 REFUSED_MEMORY_S = 10.0
--- a/src/firladder/_internal/policies/shifting.py
+++ b/src/firladder/_internal/policies/domain_selection.py
@@ -6,7 +6,7 @@
 from ..models.configuration import Configuration
 from ..models.job import JobSpec
 from ..models.machine import Machine
-from .selection import Selector, collect_labels
+from .selectors import Selector, collect_labels
 
 
 def count_possible(spec: JobSpec, workers: Sequence[Machine]) -> int:
--- a/src/firladder/_internal/policies/estimating.py
+++ b/src/firladder/_internal/policies/estimating.py
@@ -62,7 +62,7 @@
         )
         self._medians: dict[str, float] = {}
 
-    def note(self, spec: JobSpec, organisation: str, run_s: float) -> None:
+    def record_run(self, spec: JobSpec, organisation: str, run_s: float) -> None:
         """Take in the real run time of a job that is done."""
         ratio = min(MOST_RATIO, max(LEAST_RATIO, run_s / spec.run_time_s))
         for name in (name_class(spec, organisation), organisation):
--- a/src/firladder/_internal/policies/ladder.py
+++ b/src/firladder/_internal/policies/ladder.py
@@ -12,9 +12,9 @@
     URGENCY_RANK,
     Action,
     DomainView,
-    Evict,
     Finish,
     Place,
+    Preempt,
     QueuedJob,
     Room,
     RunningJob,
@@ -122,9 +122,9 @@
     backfiller = make_backfiller()
     rest = sort_borrowers(view, (j for j in queue if j.spec.id not in owed))
     placed = backfiller.run(rest)
-    evicted = {a.job for a in claims if isinstance(a, Evict)}
+    evicted = {a.job for a in claims if isinstance(a, Preempt)}
     moves = MovePlan(board, backfiller, evicted).list_moves(rest)
-    leaving = evicted | {a.job for a in moves if isinstance(a, Evict)}
+    leaving = evicted | {a.job for a in moves if isinstance(a, Preempt)}
     return [*ended, *claims, *placed, *moves, *move_mismatched(board, leaving)]
 
 
@@ -182,7 +182,7 @@
         self._board = board
         self._backfiller = backfiller
         self._guarded = board.list_guarded()
-        self._leaving = leaving | {g.spec.id for g in board.view.running if g.evicting}
+        self._leaving = leaving | {g.spec.id for g in board.view.running if g.stopping}
         self._running = {g.spec.id for g in board.view.running}
 
     def list_moves(self, queue: Sequence[QueuedJob]) -> list[Action]:
@@ -193,7 +193,7 @@
             moved = self._find_moved(jobs[reservation.job], gain_s)
             if moved:
                 return [
-                    Evict(g.spec.id, reservation.job, "moved to defragment")
+                    Preempt(g.spec.id, reservation.job, "moved to defragment")
                     for g in moved
                 ]
         return []
@@ -301,12 +301,12 @@
         g
         for g in board.view.running
         if g.spec.checkpointable
-        and not g.evicting
+        and not g.stopping
         and g.spec.id not in leaving
         and any(not g.workers.match(labels.get(m.worker, {})) for m in g.members)
     )
     return [
-        Evict(g.spec.id, g.spec.id, "moved: its selector no longer allows the worker")
+        Preempt(g.spec.id, g.spec.id, "moved: its selector no longer allows the worker")
         for g in itertools.islice(wrong, MOVES_IN_FLIGHT)
         if choose(QueuedJob(g.spec, g.organisation, g.urgency, g.workers, 0.0), rooms)
     ]
--- a/src/firladder/_internal/policies/lending.py
+++ b/src/firladder/_internal/policies/lending.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from .cells import Board
-from .placement import Evict, QueuedJob, RunningJob
+from .placement import Preempt, QueuedJob, RunningJob
 
 RESTART_S = 30.0
 """Seconds of a gang's time that a checkpoint and restart are taken to cost; what
@@ -16,11 +16,11 @@
     def __init__(self, board: Board) -> None:
         """Weigh what the eviction of each running gang would lose."""
         self.board = board
-        self.victims: dict[str, Evict] = {}
+        self.victims: dict[str, Preempt] = {}
         self._guarded = board.list_guarded()
         self._coming: dict[str, int] = {}
         self._losses = {
-            g.spec.id: 0.0 if g.evicting else count_loss(g, board.view.now)
+            g.spec.id: 0.0 if g.stopping else count_loss(g, board.view.now)
             for g in board.view.running
         }
 
@@ -30,7 +30,7 @@
 
     def is_leaving(self, gang: RunningJob) -> bool:
         """Tell whether a gang is on its way out already."""
-        return gang.evicting or gang.spec.id in self.victims
+        return gang.stopping or gang.spec.id in self.victims
 
     def cost(self, worker: str) -> float:
         """Return the work lost if all borrowers of a worker were evicted."""
--- a/src/firladder/_internal/policies/membership.py
+++ b/src/firladder/_internal/policies/membership.py
@@ -81,7 +81,7 @@
 
 
 def choose_contacts(
-    view: FleetView, *, strangers: Collection[str], rng: random.Random
+    view: FleetView, *, unknown_addresses: Collection[str], rng: random.Random
 ) -> set[str]:
     """Return the addresses to greet in this period."""
     alive = dataclasses.replace(view, peers=tuple(p for p in view.peers if not p.lost))
@@ -96,7 +96,7 @@
     # Lost peers and strangers are tried again: after a cut heals nobody else
     # may tell this process that they are back.
     lost = [p.address for p in view.peers if p.lost]
-    retried = _sample(lost, rng) | _sample(sorted(strangers), rng)
+    retried = _sample(lost, rng) | _sample(sorted(unknown_addresses), rng)
     return greeted | {p.address for p in (*turns, *visits)} | retried
 
 
@@ -127,7 +127,7 @@
     return view.now - heard_at > SILENT_PERIODS * periods * view.period_s
 
 
-def find_forgotten(view: FleetView) -> set[str]:
+def find_expired(view: FleetView) -> set[str]:
     """Return the peers whose rows need not be kept any longer."""
     oldest = view.now - FORGET_PERIODS * view.period_s
     return {p.address for p in view.peers if p.heard_at < oldest}
--- a/src/firladder/_internal/policies/placement.py
+++ b/src/firladder/_internal/policies/placement.py
@@ -12,7 +12,7 @@
 from ..models.job import JobSpec, Member
 from ..models.request import Outcome
 from .registry import Registry
-from .selection import Selector
+from .selectors import Selector
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -48,11 +48,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningJob:
-    """A gang that holds accelerators. ``evicting`` says that it is on its way out.
+    """A gang that holds accelerators. ``stopping`` says that it is on its way out.
 
     ``cell`` names the guaranteed cell of its organisation that it runs in; empty,
     the gang borrows. ``workers`` is the selector in force now, which may have
-    changed since the start. ``evicted_for`` names the job that it makes way for.
+    changed since the start. ``preempted_for`` names the job that it makes way for.
     """
 
     spec: JobSpec
@@ -60,10 +60,10 @@
     urgency: Urgency
     members: tuple[Member, ...]
     started_at: float
-    evicting: bool = False
+    stopping: bool = False
     cell: str = ""
     workers: Selector = Selector()
-    evicted_for: str = ""
+    preempted_for: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Evict:
+class Preempt:
     """Stop a running gang and queue it again, to make room for ``beneficiary``."""
 
     job: str
@@ -111,7 +111,7 @@
     reason: str
 
 
-Action = Place | Evict | Finish
+Action = Place | Preempt | Finish
 PlacementPolicy = Callable[[DomainView], list[Action]]
 
 PLACEMENTS: Registry[PlacementPolicy] = Registry("placement policy")
--- a/src/firladder/_internal/policies/quarantine.py
+++ b/src/firladder/_internal/policies/quarantine.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Conduct:
+class WorkerHealth:
     """What is held against a worker. Times are monotonic, in seconds."""
 
     failed_jobs: set[str] = dataclasses.field(default_factory=set)
@@ -38,7 +38,7 @@
         """Tell whether the worker is in quarantine, a probe included."""
         return self.until is not None
 
-    def note_failure(self, job: str, now: float) -> bool:
+    def record_failure(self, job: str, now: float) -> bool:
         """Count a failed job; tell whether the worker goes into quarantine now."""
         self.failed_jobs.add(job)
         if self.until is not None:
@@ -55,19 +55,19 @@
         wait_s = PROBE_AFTER_S * 2.0**self.failed_probes
         self.until = now + min(wait_s, LONGEST_QUARANTINE_S)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Clear the worker: it ran something to its end."""
         self.failed_jobs.clear()
         self.until = None
         self.failed_probes = 0
 
-    def forgive(self, job: str) -> None:
+    def retract_failure(self, job: str) -> None:
         """Take back a failure that was the job's own fault."""
         self.failed_jobs.discard(job)
         if len(self.failed_jobs) < FAILURES_TO_QUARANTINE:
             self.until = None
 
-    def may_take(self, now: float, *, busy: bool) -> bool:
+    def accepts_work(self, now: float, *, busy: bool) -> bool:
         """Tell whether new work may go there; a probe runs alone."""
         return self.until is None or (now >= self.until and not busy)
 
--- a/src/firladder/_internal/policies/queueing.py
+++ b/src/firladder/_internal/policies/queueing.py
@@ -7,7 +7,7 @@
 
 from ..models.configuration import URGENCIES, Urgency
 from .registry import Registry
-from .requests import URGENCY_RANK, WaitingRequest
+from .request_views import URGENCY_RANK, WaitingRequest
 
 AGEING_S: Mapping[Urgency, float] = {"urgent": 0.0, "normal": 2.0, "overnight": 10.0}
 """Seconds of waiting after which a request may go before more urgent ones."""
--- a/src/firladder/_internal/policies/reclaim.py
+++ b/src/firladder/_internal/policies/reclaim.py
@@ -11,10 +11,10 @@
 
 from ..models.job import Member
 from .backfill import Chooser
+from .cell_packing import Slot
 from .cells import Bench, Board
-from .fitting import Slot
 from .lending import Lending
-from .placement import Action, Evict, Place, QueuedJob
+from .placement import Action, Place, Preempt, QueuedJob
 
 FRESH_S = 2.0
 """Seconds for which a job counts as just come: a few placement passes."""
@@ -171,7 +171,7 @@
         gang, which owners' small jobs would else put off for ever.
         """
         holds = self.board.benches[worker].holds
-        coming = any(g.evicted_for == job.spec.id for g, _ in holds)
+        coming = any(g.preempted_for == job.spec.id for g, _ in holds)
         return not coming, worker in self._reserved and not self._is_large(job)
 
     def _list_whole_sites(self, job: QueuedJob, slot: Slot) -> Iterable[Site]:
@@ -292,7 +292,7 @@
             for gang in self._choose_victims(name, job, count):
                 self.victims.setdefault(
                     gang.spec.id,
-                    Evict(
+                    Preempt(
                         gang.spec.id, job.spec.id, f"reclaimed by {job.organisation}"
                     ),
                 )
--- a/src/firladder/_internal/policies/reclaiming.py
+++ b/src/firladder/_internal/policies/reclaiming.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from .backfill import Chooser
+from .cell_packing import Slot
 from .cells import Board
-from .fitting import Slot
-from .placement import Action, Evict, QueuedJob, RunningJob
+from .placement import Action, Preempt, QueuedJob, RunningJob
 from .reclaim import Reclaimer, Site
 from .registry import Registry
 
@@ -57,7 +57,7 @@
         for gang in running if oldest is not None else ():
             younger = gang.started_at >= (oldest or 0.0) and gang.members
             if younger and self.is_lent(gang) and not self.is_leaving(gang):
-                self.victims[gang.spec.id] = Evict(
+                self.victims[gang.spec.id] = Preempt(
                     gang.spec.id, job.spec.id, "youngest first"
                 )
         return actions
--- a/src/firladder/_internal/policies/routing.py
+++ b/src/firladder/_internal/policies/routing.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from .registry import Registry
-from .requests import TargetView
+from .request_views import TargetView
 
 RoutingPolicy = Callable[[Sequence[TargetView], float, random.Random], str | None]
 
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class TargetScore:
+class TargetStats:
     """What one gateway has learnt of one target. Times are monotonic seconds."""
 
     latency_s: float = INITIAL_LATENCY_S
@@ -49,15 +49,15 @@
         """Tell whether only single probing requests may go there."""
         return self.pauses > 0
 
-    def note_sent(self, request_id: str, now: float) -> None:
+    def record_sent(self, request_id: str, now: float) -> None:
         """Count a request in."""
         self.sent_at[request_id] = now
 
-    def note_back(self, request_id: str) -> None:
+    def record_end(self, request_id: str) -> None:
         """Count a request out, however it ended."""
         self.sent_at.pop(request_id, None)
 
-    def note_success(self, latency_s: float, now: float, typical_s: float) -> None:
+    def record_success(self, latency_s: float, now: float, typical_s: float) -> None:
         """Learn from an answer; ``typical_s`` is the median of all targets."""
         self.failures = 0
         if self.samples == 0 or self.on_probe:
@@ -74,7 +74,7 @@
             self.pauses = 0
             self.retry_at = 0.0
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Learn from a failure, and leave a target that only fails."""
         self.failures += 1
         if self.failures >= FAILURES_TO_LEAVE:
@@ -87,13 +87,13 @@
         self.retry_at = now + min(LONGEST_PAUSE_S, pause_s)
         self.pauses += 1
 
-    def find_oldest(self, now: float) -> float:
+    def find_oldest_age(self, now: float) -> float:
         """Return the age of the oldest request in flight."""
         first = next(iter(self.sent_at.values()), now)
         return now - first
 
 
-def find_typical_latency(scores: Iterable[TargetScore]) -> float:
+def find_typical_latency(scores: Iterable[TargetStats]) -> float:
     """Return the median latency over the targets that have answered."""
     seen = [s.latency_s for s in scores if s.samples]
     return statistics.median(seen) if seen else INITIAL_LATENCY_S
--- a/src/firladder/_internal/scheduler/books.py
+++ b/src/firladder/_internal/scheduler/books.py
@@ -10,8 +10,8 @@
 from ..models.task import ENDED, TaskStatus, WorkerReport
 from ..policies.estimating import RunHistory
 from ..policies.placement import DomainView, QueuedJob, RunningJob, WorkerView
-from ..policies.quarantine import Conduct
-from ..policies.selection import Steering, collect_labels, find_steering
+from ..policies.quarantine import WorkerHealth
+from ..policies.selectors import Steering, collect_labels, find_steering
 
 STEERINGS_KEPT = 4096
 """Steerings remembered for a revision of the configuration; a job's labels give
@@ -34,7 +34,7 @@
     renewed_at: float = 0.0
     tasks: dict[str, TaskStatus] = dataclasses.field(default_factory=dict)
     ended: dict[str, TaskStatus] = dataclasses.field(default_factory=dict)
-    conduct: Conduct = dataclasses.field(default_factory=Conduct)
+    conduct: WorkerHealth = dataclasses.field(default_factory=WorkerHealth)
 
     @property
     def quarantined(self) -> bool:
@@ -53,9 +53,9 @@
     record: JobRecord
     members: tuple[Member, ...]
     started_at: float
-    evicting: bool = False
+    stopping: bool = False
     cell: str = ""
-    evicted_for: str = ""
+    preempted_for: str = ""
 
 
 class Books:
@@ -147,19 +147,19 @@
             history=self.history.medians,
         )
 
-    def forgive(self, job: str) -> None:
+    def retract_failure(self, job: str) -> None:
         """Take back what workers have against them for a job that is to blame."""
         for state in self.workers.values():
-            state.conduct.forgive(job)
+            state.conduct.retract_failure(job)
 
     def note_run(self, job: str, configuration: Configuration, now: float) -> None:
         """Learn from a job's real run time, which a member's end tells."""
         gang = self.gangs.get(job)
-        if gang is None or gang.record.attempt > 1 or gang.evicting:
+        if gang is None or gang.record.attempt > 1 or gang.stopping:
             return
         spec = gang.record.spec
         steering = self._find_steering(spec, configuration)
-        self.history.note(spec, steering.organisation, now - gang.started_at)
+        self.history.record_run(spec, steering.organisation, now - gang.started_at)
 
     def _is_promised(self, task: TaskStatus) -> bool:
         # A worker's name for a task carries the attempt, the gang's does not;
@@ -228,7 +228,7 @@
             usable=(
                 state.claimed
                 and state.reachable
-                and state.conduct.may_take(monotonic, busy=bool(holds))
+                and state.conduct.accepts_work(monotonic, busy=bool(holds))
                 and machine.state == "live"
             ),
         )
@@ -257,8 +257,8 @@
             urgency=steering.urgency,
             members=gang.members,
             started_at=gang.started_at,
-            evicting=gang.evicting,
+            stopping=gang.stopping,
             cell=gang.cell,
             workers=steering.workers,
-            evicted_for=gang.evicted_for,
+            preempted_for=gang.preempted_for,
         )
--- a/src/firladder/_internal/scheduler/daemon.py
+++ b/src/firladder/_internal/scheduler/daemon.py
@@ -16,8 +16,8 @@
 from ..models.message import AnyBody, FetchDomain, Heartbeat, Refused
 from ..network.http_client import HttpClient
 from ..network.http_server import HttpServer, RouteTable
-from ..policies.catalogue import PLACEMENTS
 from ..policies.placement import PlacementPolicy
+from ..policies.placement_catalogue import PLACEMENTS
 from ..utils.events import Event
 from ..utils.settings import Resolved
 from ..utils.tasks import end_task
--- a/src/firladder/_internal/scheduler/domain.py
+++ b/src/firladder/_internal/scheduler/domain.py
@@ -8,9 +8,9 @@
 from ..models.message import DomainReply
 from ..policies.placement import (
     Action,
-    Evict,
     Finish,
     Place,
+    Preempt,
 )
 from ..utils.events import Event
 from .books import GangState
@@ -85,7 +85,7 @@
         if not is_sound(job, reached, index.find(job)):
             runner.inbox.put_nowait(MemberLost("unknown"))
         elif job.cancel_requested:
-            gang.evicting = True
+            gang.stopping = True
             runner.inbox.put_nowait(StopGang("cancelled"))
         for worker in {m.worker for m in job.members} - reached:
             # One slow answer at a takeover must not end a gang that runs whole.
@@ -165,8 +165,8 @@
             runner = self._runners.get(job.spec.id)
             if job.spec.id in self.books.gangs and runner is not None:
                 gang = self.books.gangs[job.spec.id]
-                if not gang.evicting:
-                    gang.evicting = True
+                if not gang.stopping:
+                    gang.stopping = True
                     runner.inbox.put_nowait(StopGang("cancelled"))
             elif job.state == "queued":
                 self._act(Finish(job.spec.id, "not_run", "cancelled before it ran"))
@@ -179,9 +179,9 @@
             self.books.gangs[action.job] = gang
             runner = self._make_runner(gang)
             self._tasks.spawn(runner.start(), name=f"gang-{action.job}")
-        elif isinstance(action, Evict):
+        elif isinstance(action, Preempt):
             gang = self.books.gangs[action.job]
-            gang.evicting, gang.evicted_for = True, action.beneficiary
+            gang.stopping, gang.preempted_for = True, action.beneficiary
             self._timeline.record(
                 Event.EVICTION_ORDERED,
                 job=action.job,
@@ -198,7 +198,7 @@
         if action.job in self.books.gangs:
             return
         if action.outcome == "failed":
-            self.books.forgive(action.job)
+            self.books.retract_failure(action.job)
         # Listed as a gang without members so that no second pass acts on it.
         self.books.gangs[action.job] = GangState(record, (), self._clock.read_wall())
         self._tasks.spawn(self._write_end(action), name=f"finish-{action.job}")
--- a/src/firladder/_internal/scheduler/following.py
+++ b/src/firladder/_internal/scheduler/following.py
@@ -136,7 +136,7 @@
         state = self.books.workers.get(worker)
         if state is None:
             return
-        if state.conduct.note_failure(job, self._clock.read_monotonic()):
+        if state.conduct.record_failure(job, self._clock.read_monotonic()):
             self._timeline.record(
                 Event.WORKER_QUARANTINED,
                 worker=worker,
@@ -147,7 +147,7 @@
         state = self.books.workers[worker]
         if state.quarantined:
             self._timeline.record(Event.WORKER_RETURNED, worker=worker, job=job)
-        state.conduct.note_success()
+        state.conduct.record_success()
         self.books.note_run(job, self._configuration.current, self._clock.read_wall())
 
     def _follow_new_workers(self) -> None:
--- a/src/firladder/_internal/scheduler/members.py
+++ b/src/firladder/_internal/scheduler/members.py
@@ -180,7 +180,7 @@
         job start again beside a member that a cut-off worker still runs.
         """
         self._chart.fire("stop")
-        self._gang.evicting = True
+        self._gang.stopping = True
         began = self._clock.read_monotonic()
         grace_s = self._times.stop_grace_s if polite else 0.0
         left = list(self._members)
