--- a/src/firladder/_internal/policies/admission.py
+++ b/src/firladder/_internal/policies/admission.py
@@ -12,19 +12,23 @@
 
 ADMISSIONS: Registry[AdmissionPolicy] = Registry("admission policy")
 
-QUEUE_PART: Mapping[Urgency, float] = {"urgent": 1.0, "normal": 0.9, "overnight": 0.8}
+QUEUE_FRACTION: Mapping[Urgency, float] = {
+    "urgent": 1.0,
+    "normal": 0.9,
+    "overnight": 0.8,
+}
 """Part of the queue that each urgency may fill: a night's backlog must leave
 places for somebody who is waiting beside a customer."""
 
-CROWDED_PART = 0.5
+CONTENTION_FRACTION = 0.5
 """Part of the queue above which organisations are held to their weights. Below
 it, an organisation alone may use what nobody else asks for."""
 
-SAFETY = 1.1
+WAIT_SAFETY_FACTOR = 1.1
 """The wait is taken this much longer than computed: run times vary, and work
 admitted too late costs a slot and then misses its deadline."""
 
-LONGEST_RETRY_S = 60.0
+MAX_RETRY_AFTER_S = 60.0
 """A caller told to come back later than this would rather be served elsewhere."""
 
 
@@ -48,27 +52,27 @@
     falls as load rises.
     """
     wait_s = estimate_wait(view, req)
-    crowd_s = view.refused_s / max(1, view.room)
+    refused_work_s = view.refused_s / max(1, view.room)
     total = sum(view.queued.values())
-    if total >= view.queue_limit * QUEUE_PART[req.urgency]:
+    if total >= view.queue_limit * QUEUE_FRACTION[req.urgency]:
         reason = f"the queue has no place left for {req.urgency} work"
         return QueueFull(
-            reason=reason, retry_after_s=spread_return(crowd_s, wait_s, rng)
+            reason=reason, retry_after_s=spread_retry_after(refused_work_s, wait_s, rng)
         )
     if view.held.get(req.organisation, 0) >= _limit_organisation(view, req, total):
         reason = f"organisation {req.organisation!r} holds its part of the queue"
         return QueueFull(
-            reason=reason, retry_after_s=spread_return(crowd_s, wait_s, rng)
+            reason=reason, retry_after_s=spread_retry_after(refused_work_s, wait_s, rng)
         )
     if not total and not view.in_flight:
         # One request at a time goes through even if it looks too late: after
         # a slow spell nobody would ever learn that the targets have recovered.
         return None
-    if view.now + wait_s * SAFETY + view.latency_s > req.deadline:
+    if view.now + wait_s * WAIT_SAFETY_FACTOR + view.latency_s > req.deadline:
         return DeadlineUnreachable(
             reason=f"the wait is {wait_s:.2f} s, longer than the deadline allows",
             field="deadline_ms",
-            retry_after_s=spread_return(crowd_s, wait_s, rng),
+            retry_after_s=spread_retry_after(refused_work_s, wait_s, rng),
         )
     return None
 
@@ -91,26 +95,30 @@
     return view.latency_s * (min(ahead, by_turns) + busy) / max(1, view.room)
 
 
-def spread_return(crowd_s: float, wait_s: float, rng: random.Random) -> float:
+def spread_retry_after(
+    refused_work_s: float, wait_s: float, rng: random.Random
+) -> float:
     """Return when a refused caller shall come back, in seconds.
 
     Made for a crowd refused together: sent back to the same moment it would
-    be refused together again. ``crowd_s`` is how long all targets would work
+    be refused together again. ``refused_work_s`` is how long all targets would work
     on what was refused lately; the span grows with it, so that those who
     return fit into the capacity there is.
     """
-    delay_s = 0.1 + wait_s * rng.uniform(0.5, 1.0) + rng.uniform(0, 1.0 + 2 * crowd_s)
-    return min(LONGEST_RETRY_S, delay_s)
+    delay_s = (
+        0.1 + wait_s * rng.uniform(0.5, 1.0) + rng.uniform(0, 1.0 + 2 * refused_work_s)
+    )
+    return min(MAX_RETRY_AFTER_S, delay_s)
 
 
 def _limit_organisation(view: ServiceView, req: WaitingRequest, total: int) -> float:
-    limit = view.queue_limit * _read_share(view)
-    if total < view.queue_limit * CROWDED_PART:
+    limit = view.queue_limit * _clamp_share(view)
+    if total < view.queue_limit * CONTENTION_FRACTION:
         return max(1.0, limit)
     weights = {**view.weights, req.organisation: req.weight}
     part = view.queue_limit * req.weight / sum(weights.values())
     return max(1.0, min(limit, part))
 
 
-def _read_share(view: ServiceView) -> float:
+def _clamp_share(view: ServiceView) -> float:
     return min(1.0, max(0.0, view.request_share))
--- a/src/firladder/_internal/policies/backfill.py
+++ b/src/firladder/_internal/policies/backfill.py
@@ -10,15 +10,22 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from ..models.job import JobSpec, Member
-from .cells import Bench, Board
+from .cells import PlacementPlan, WorkerPlan
 from .estimating import Estimator
-from .placement import Place, QueuedJob, Room, RunningJob, group_rooms, place_gang
-
-LATE_PART = 0.25
+from .placement import (
+    FreeCapacity,
+    Place,
+    QueuedJob,
+    RunningJob,
+    group_by_adjacency,
+    place_gang,
+)
+
+OVERRUN_FRACTION = 0.25
 """A gang that has outrun its estimate is taken to run for this part of its time
 again: the estimate is known to be wrong, and the longer it runs the more so."""
 
-TRIES_PER_RESERVATION = 2
+ATTEMPTS_PER_RESERVATION = 2
 """Gangs for which a reservation is looked for, for each one that may be held."""
 
 NEVER = float("inf")
@@ -38,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Limits:
+class BackfillLimits:
     """How a backfill policy goes about it.
 
     ``reservations`` bounds how many waiting gangs hold one, for each takes
@@ -50,29 +57,34 @@
     drain_after_s: float = NEVER
 
 
-Chooser = Callable[[QueuedJob, Sequence[Room]], tuple[Member, ...] | None]
+Chooser = Callable[[QueuedJob, Sequence[FreeCapacity]], tuple[Member, ...] | None]
 
 
 class Backfiller:
     """One pass over the queue of jobs that borrow."""
 
     def __init__(
-        self, board: Board, *, estimator: Estimator, choose: Chooser, limits: Limits
+        self,
+        plan: PlacementPlan,
+        *,
+        estimator: Estimator,
+        choose: Chooser,
+        limits: BackfillLimits,
     ) -> None:
-        """Plan on ``board`` with these estimates, choice of place and limits."""
-        self.board = board
+        """Plan on ``plan`` with these estimates, choice of place and limits."""
+        self.plan = plan
         self.reservations: list[Reservation] = []
         self._estimate = estimator
         self._choose = choose
         self._limits = limits
-        self._now = board.view.now
+        self._now = plan.view.now
         self._ends: dict[str, float] = {}
-        self._tries = 0
-        self._failed: set[tuple[object, ...]] = set()
+        self._attempts = 0
+        self._unplaceable: set[tuple[object, ...]] = set()
 
     def estimate(self, spec: JobSpec, organisation: str) -> float:
         """Return the seconds a job is expected to run."""
-        return self._estimate(spec, organisation, self.board.view.history)
+        return self._estimate(spec, organisation, self.plan.view.history)
 
     def _find_end(self, gang: RunningJob) -> float:
         if gang.spec.id not in self._ends:
@@ -84,7 +96,7 @@
             return self._now
         ran_s = max(0.0, self._now - gang.started_at)
         left_s = self.estimate(gang.spec, gang.organisation) - ran_s
-        return self._now + max(left_s, LATE_PART * ran_s, 1.0)
+        return self._now + max(left_s, OVERRUN_FRACTION * ran_s, 1.0)
 
     def run(self, queue: Iterable[QueuedJob]) -> list[Place]:
         """Start what fits, and reserve for the first that do not."""
@@ -100,7 +112,7 @@
     def _may_reserve(self) -> bool:
         # A gang that no present workers hold gets no reservation, however often
         # it is tried; a queue of them would make each pass seconds long.
-        few = self._tries < TRIES_PER_RESERVATION * self._limits.reservations
+        few = self._attempts < ATTEMPTS_PER_RESERVATION * self._limits.reservations
         return few and len(self.reservations) < self._limits.reservations
 
     def reserve_for(self, queue: Iterable[QueuedJob]) -> frozenset[str]:
@@ -119,33 +131,36 @@
             if r.drain or end_at > r.start_at
             for w in r.workers
         )
-        kind = (closed, *_describe_kind(job))
-        if kind in self._failed:
+        kind = (closed, *_describe_requirements(job))
+        if kind in self._unplaceable:
             return None
-        rooms = [
+        capacities = [
             b.room
-            for n, b in self.board.benches.items()
+            for n, b in self.plan.worker_plans.items()
             if b.view.usable and n not in closed
         ]
-        members = self._choose(job, rooms)
+        members = self._choose(job, capacities)
         if members is None:
-            self._failed.add(kind)
+            self._unplaceable.add(kind)
             return None
-        self.board.start(job, members)
+        self.plan.start(job, members)
         return Place(job.spec.id, members)
 
     def _reserve(self, job: QueuedJob) -> None:
-        self._tries += 1
+        self._attempts += 1
         taken = {w for r in self.reservations for w in r.workers}
-        rooms = [
+        capacities = [
             b.room
-            for n, b in self.board.benches.items()
+            for n, b in self.plan.worker_plans.items()
             if b.view.usable
             and n not in taken
             and n not in job.avoid
             and job.workers.match(b.view.labels)
         ]
-        plans = (self._plan(job.spec, g) for g in group_rooms(job.spec, rooms))
+        plans = (
+            self._find_group_start(job.spec, g)
+            for g in group_by_adjacency(job.spec, capacities)
+        )
         found = min((p for p in plans if p is not None), default=None)
         if found is None or found[0] == NEVER:
             return
@@ -159,16 +174,19 @@
             )
         )
 
-    def _plan(
-        self, spec: JobSpec, group: Sequence[Room]
+    def _find_group_start(
+        self, spec: JobSpec, group: Sequence[FreeCapacity]
     ) -> tuple[float, tuple[str, ...]] | None:
         """Return when the group could start the gang first, and on which workers."""
-        most = max((_count_empty(spec, r) for r in group), default=0)
+        most = max((_count_members_when_empty(spec, r) for r in group), default=0)
         if most == 0:
             return None
         each = min(most, spec.members)
         times = sorted(
-            (self._find_time(self.board.benches[r.view.name], spec, each), r.view.name)
+            (
+                self._find_start(self.plan.worker_plans[r.view.name], spec, each),
+                r.view.name,
+            )
             for r in group
         )
         needed = -(-spec.members // each)
@@ -176,12 +194,18 @@
             return None
         return times[needed - 1][0], tuple(name for _, name in times[:needed])
 
-    def _find_time(self, bench: Bench, spec: JobSpec, members: int) -> float:
+    def _find_start(
+        self, worker_plan: WorkerPlan, spec: JobSpec, members: int
+    ) -> float:
         """Return when a worker could hold so many members of the gang."""
-        room = bench.room
-        accelerators, cpus, memory = len(room.free), room.cpus, room.memory_mb
+        capacity = worker_plan.room
+        accelerators, cpus, memory = (
+            len(capacity.free),
+            capacity.cpus,
+            capacity.memory_mb,
+        )
         ends = sorted(
-            ((self._find_end(g), n, g.spec) for g, n in bench.holds),
+            ((self._find_end(g), n, g.spec) for g, n in worker_plan.holds),
             key=lambda e: e[0],
         )
         at = self._now
@@ -200,13 +224,13 @@
         return NEVER
 
 
-def _count_empty(spec: JobSpec, room: Room) -> int:
+def _count_members_when_empty(spec: JobSpec, capacity: FreeCapacity) -> int:
     if spec.accelerators == 0:
         return spec.members
-    return room.view.accelerators // spec.accelerators
+    return capacity.view.accelerators // spec.accelerators
 
 
-def _describe_kind(job: QueuedJob) -> tuple[object, ...]:
+def _describe_requirements(job: QueuedJob) -> tuple[object, ...]:
     spec = job.spec
     return (
         spec.members,
@@ -219,9 +243,11 @@
     )
 
 
-def choose_first(job: QueuedJob, rooms: Sequence[Room]) -> tuple[Member, ...] | None:
+def choose_first_fit(
+    job: QueuedJob, capacities: Sequence[FreeCapacity]
+) -> tuple[Member, ...] | None:
     """Take the first place that fits, in order of rack and worker."""
-    return place_gang(job, rooms)
+    return place_gang(job, capacities)
 
 
 class BestFit:
@@ -229,42 +255,44 @@
 
     The load this is made for: many small jobs and a few gangs of whole workers.
     First fit spreads the small ones over every worker that has room, and each
-    one then spoils a whole worker. ``lend_late`` names workers where idle
+    one then spoils a whole worker. ``lend_last`` names workers where idle
     guaranteed cells lie: work that cannot be checkpointed goes there last, as an
     owner's reclaim would throw it away.
     """
 
-    def __init__(self, lend_late: frozenset[str] = frozenset()) -> None:
+    def __init__(self, lend_last: frozenset[str] = frozenset()) -> None:
         """Remember the workers to be lent last."""
-        self._lend_late = lend_late
+        self._lend_last = lend_last
 
     def __call__(
-        self, job: QueuedJob, rooms: Sequence[Room]
+        self, job: QueuedJob, capacities: Sequence[FreeCapacity]
     ) -> tuple[Member, ...] | None:
         """Return the gang's members in the tightest place, or None."""
         allowed = [
             r
-            for r in rooms
+            for r in capacities
             if r.view.name not in job.avoid and job.workers.match(r.view.labels)
         ]
         counted = [(r, r.count_members(job.spec)) for r in allowed]
         single = [r for r, count in counted if count >= job.spec.members]
         if single:
-            return _take(job.spec, [min(single, key=lambda r: self._rank(job, r))])
+            return _assign_members(
+                job.spec, [min(single, key=lambda r: self._rank(job, r))]
+            )
         if job.spec.adjacency == "worker":
             return None
         return self._choose_group(job, [r for r, count in counted if count])
 
-    def _rank(self, job: QueuedJob, room: Room) -> tuple[bool, int, str]:
-        lent = room.view.name in self._lend_late and not job.spec.checkpointable
-        return lent, len(room.free), room.view.name
+    def _rank(self, job: QueuedJob, capacity: FreeCapacity) -> tuple[bool, int, str]:
+        lent = capacity.view.name in self._lend_last and not job.spec.checkpointable
+        return lent, len(capacity.free), capacity.view.name
 
     def _choose_group(
-        self, job: QueuedJob, rooms: Sequence[Room]
+        self, job: QueuedJob, capacities: Sequence[FreeCapacity]
     ) -> tuple[Member, ...] | None:
         spec = job.spec
         plans = []
-        for group in group_rooms(spec, rooms):
+        for group in group_by_adjacency(spec, capacities):
             if sum(r.count_members(spec) for r in group) < spec.members:
                 continue
             free = sum(len(r.free) for r in group)
@@ -274,15 +302,18 @@
             plans.append((free, group[0].view.rack, ordered))
         if not plans:
             return None
-        return _take(spec, min(plans, key=lambda p: p[:2])[2])
+        return _assign_members(spec, min(plans, key=lambda p: p[:2])[2])
 
 
-def _take(spec: JobSpec, rooms: Iterable[Room]) -> tuple[Member, ...]:
+def _assign_members(
+    spec: JobSpec, capacities: Iterable[FreeCapacity]
+) -> tuple[Member, ...]:
     slots = itertools.chain.from_iterable(
-        itertools.repeat(room, room.count_members(spec)) for room in rooms
+        itertools.repeat(capacity, capacity.count_members(spec))
+        for capacity in capacities
     )
     chosen = list(itertools.islice(slots, spec.members))
     return tuple(
-        Member(f"{spec.id}.{number}", room.view.name, room.take(spec))
-        for number, room in enumerate(chosen)
+        Member(f"{spec.id}.{number}", capacity.view.name, capacity.take(spec))
+        for number, capacity in enumerate(chosen)
     )
--- a/src/firladder/_internal/policies/cell_packing.py
+++ b/src/firladder/_internal/policies/cell_packing.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Slot:
+class CellSlot:
     """One guaranteed cell of an organisation, not bound to a place yet.
 
     ``accelerators`` is the rounded size. ``whole`` says that the slot takes
@@ -33,7 +33,7 @@
     organisation: str
     name: str
     accelerators: int
-    whole: bool
+    whole_workers: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -43,13 +43,13 @@
     ``rack`` is set when part of the slot is in use there already.
     """
 
-    slot: Slot
+    slot: CellSlot
     accelerators: int
     rack: str | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Bay:
+class Bin:
     """A worker as the packing sees it."""
 
     name: str
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CellSite:
+class CellPlacement:
     """Where one guaranteed cell could lie: accelerators taken of each worker."""
 
     organisation: str
@@ -69,7 +69,7 @@
 class Packing:
     """The places found for all needs, and the needs that found none."""
 
-    sites: dict[Slot, tuple[tuple[str, int], ...]]
+    placements: dict[CellSlot, tuple[tuple[str, int], ...]]
     missing: list[Need]
 
 
@@ -90,17 +90,17 @@
 def list_slots(
     organisations: Mapping[str, Organisation],
     failure_domain: str,
-    bays: Iterable[Bay],
-) -> list[Slot]:
+    bins: Iterable[Bin],
+) -> list[CellSlot]:
     """Return the guaranteed cells of a failure domain, largest first."""
-    present = list(bays)
+    present = list(bins)
     worker_size = max((b.accelerators for b in present), default=1)
     racks: dict[str, int] = {}
-    for bay in present:
-        racks[bay.rack] = racks.get(bay.rack, 0) + 1
+    for worker in present:
+        racks[worker.rack] = racks.get(worker.rack, 0) + 1
     rack_workers = max(racks.values(), default=1)
     slots = [
-        Slot(name, f"{cell.accelerators}#{number}", *round_cell(*sizes))
+        CellSlot(name, f"{cell.accelerators}#{number}", *round_cell(*sizes))
         for name, org in organisations.items()
         for cell, number in _number_cells(org.shape, failure_domain)
         for sizes in [(cell.accelerators, max(1, worker_size), rack_workers)]
@@ -123,7 +123,7 @@
 
 def pack_needs(
     needs: Iterable[Need],
-    bays: Mapping[str, Bay],
+    bins: Mapping[str, Bin],
     capacity: Mapping[str, int],
     cost: Callable[[str], float] = lambda _: 0.0,
 ) -> Packing:
@@ -135,27 +135,27 @@
     """
     left = dict(capacity)
     racks: dict[str, list[str]] = {}
-    for bay in bays.values():
-        if bay.name in left:
-            racks.setdefault(bay.rack, []).append(bay.name)
+    for worker in bins.values():
+        if worker.name in left:
+            racks.setdefault(worker.rack, []).append(worker.name)
     packing = Packing({}, [])
     ordered = sorted(needs, key=lambda n: (n.rack is None, -n.accelerators))
     for need in ordered:
-        site = (
-            _find_whole(need, racks, bays, left, cost)
-            if need.slot.whole
-            else _find_part(need, racks, left, cost)
+        placement = (
+            _find_whole_workers(need, racks, bins, left, cost)
+            if need.slot.whole_workers
+            else _find_single_worker(need, racks, left, cost)
         )
-        if site is None:
+        if placement is None:
             packing.missing.append(need)
             continue
-        for name, taken in site:
+        for name, taken in placement:
             left[name] -= taken
-        packing.sites[need.slot] = site
+        packing.placements[need.slot] = placement
     return packing
 
 
-def _find_part(
+def _find_single_worker(
     need: Need,
     racks: Mapping[str, list[str]],
     left: Mapping[str, int],
@@ -169,22 +169,22 @@
     return ((best, need.accelerators),)
 
 
-def _find_whole(
+def _find_whole_workers(
     need: Need,
     racks: Mapping[str, list[str]],
-    bays: Mapping[str, Bay],
+    bins: Mapping[str, Bin],
     left: Mapping[str, int],
     cost: Callable[[str], float],
 ) -> tuple[tuple[str, int], ...] | None:
     found = []
     for rack in racks if need.rack is None else (need.rack,):
-        whole = [n for n in racks.get(rack, ()) if left[n] == bays[n].accelerators > 0]
-        whole.sort(key=lambda n: (cost(n), -left[n], n))
-        sums = list(itertools.accumulate(left[n] for n in whole))
+        empty = [n for n in racks.get(rack, ()) if left[n] == bins[n].accelerators > 0]
+        empty.sort(key=lambda n: (cost(n), -left[n], n))
+        sums = list(itertools.accumulate(left[n] for n in empty))
         enough = next((i for i, s in enumerate(sums) if s >= need.accelerators), None)
         if enough is not None:
-            chosen = whole[: enough + 1]
-            found.append((sum(map(cost, chosen)), len(whole), rack, chosen))
+            chosen = empty[: enough + 1]
+            found.append((sum(map(cost, chosen)), len(empty), rack, chosen))
     if not found:
         return None
     return tuple((n, left[n]) for n in min(found)[3])
@@ -194,14 +194,14 @@
     organisations: Mapping[str, Organisation],
     workers: Iterable[Machine],
     failure_domain: str,
-) -> list[CellSite] | GuaranteesDoNotFit:
+) -> list[CellPlacement] | GuaranteesDoNotFit:
     """Return a site for every guaranteed cell, or the first that has none."""
-    bays = {w.name: Bay(w.name, w.rack, w.accelerators) for w in workers}
-    slots = list_slots(organisations, failure_domain, bays.values())
+    bins = {w.name: Bin(w.name, w.rack, w.accelerators) for w in workers}
+    slots = list_slots(organisations, failure_domain, bins.values())
     packing = pack_needs(
         (Need(s, s.accelerators) for s in slots),
-        bays,
-        {b.name: b.accelerators for b in bays.values()},
+        bins,
+        {b.name: b.accelerators for b in bins.values()},
     )
     if packing.missing:
         slot = packing.missing[0].slot
@@ -212,4 +212,7 @@
             ),
             field=f"organisation.{slot.organisation}.shape",
         )
-    return [CellSite(slot.organisation, site) for slot, site in packing.sites.items()]
+    return [
+        CellPlacement(slot.organisation, placement)
+        for slot, placement in packing.placements.items()
+    ]
--- a/src/firladder/_internal/policies/cells.py
+++ b/src/firladder/_internal/policies/cells.py
@@ -2,7 +2,7 @@
 
 The invariant, kept by construction: beside the gangs that run in guaranteed
 cells there is at all times a place for every cell that is not in use, and
-whatever lies there is free or lent. ``Board`` finds these places anew in each
+whatever lies there is free or lent. ``PlacementPlan`` finds these places anew in each
 pass by packing all unused cells around the bound ones; nothing is bound unless
 the packing of the rest still succeeds. So the owner's job can always be started
 by evicting borrowers alone. Were a cell bound without that check, gangs in
@@ -17,63 +17,63 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from ..models.job import JobSpec, Member
-from .cell_packing import Bay, Need, Packing, Slot, list_slots, pack_needs
-from .placement import DomainView, QueuedJob, Room, RunningJob, WorkerView
+from .cell_packing import Bin, CellSlot, Need, Packing, list_slots, pack_needs
+from .placement import DomainView, FreeCapacity, QueuedJob, RunningJob, WorkerView
 
 Cost = Callable[[str], float]
 
 
 @dataclasses.dataclass(slots=True)
-class Bound:
+class BoundSlot:
     """A slot in use: where it lies and what its gangs take of each worker."""
 
-    slot: Slot
+    slot: CellSlot
     rack: str
     used: dict[str, int]
     gangs: list[RunningJob]
 
 
 @dataclasses.dataclass(slots=True)
-class Bench:
+class WorkerPlan:
     """A worker in a plan: its free room, and what gangs hold of it."""
 
     view: WorkerView
-    room: Room
+    room: FreeCapacity
     cpus: int
     memory_mb: int
     holds: list[tuple[RunningJob, int]]
 
-    def allow_share(self, spec: JobSpec) -> bool:
+    def is_within_share(self, spec: JobSpec) -> bool:
         """Tell whether a member takes no more than its accelerators' share.
 
         A guarantee is of accelerators with their part of processors and memory.
         A member that takes more could keep a neighbouring cell from starting,
         so it runs as a borrower and can be evicted.
         """
-        whole = max(1, self.view.accelerators)
+        worker_size = max(1, self.view.accelerators)
         return (
-            spec.cpus * whole <= self.cpus * spec.accelerators
-            and spec.memory_mb * whole <= self.memory_mb * spec.accelerators
+            spec.cpus * worker_size <= self.cpus * spec.accelerators
+            and spec.memory_mb * worker_size <= self.memory_mb * spec.accelerators
         )
 
 
-class Board:
+class PlacementPlan:
     """One placement pass's plan: the room left and the cells bound."""
 
     def __init__(self, view: DomainView) -> None:
         """Lay the running gangs out, and bind the cells they run in."""
         self.view = view
-        self.benches = _lay_benches(view)
-        self.bays = {
-            b.view.name: Bay(b.view.name, b.view.rack, b.view.accelerators)
-            for b in self.benches.values()
+        self.worker_plans = _plan_workers(view)
+        self.bins = {
+            b.view.name: Bin(b.view.name, b.view.rack, b.view.accelerators)
+            for b in self.worker_plans.values()
             if b.view.usable
         }
         everywhere = [
-            Bay(w.name, w.rack, w.accelerators) for w in view.workers if w.accelerators
+            Bin(w.name, w.rack, w.accelerators) for w in view.workers if w.accelerators
         ]
         self.slots = list_slots(view.organisations, view.failure_domain, everywhere)
-        self.bound: dict[Slot, Bound] = {}
+        self.bound: dict[CellSlot, BoundSlot] = {}
         self.capacity: dict[str, int] = {}
         self._bind_running()
         self.packing = self.pack(lambda _: 0.0)
@@ -101,9 +101,11 @@
             kept.pop()
         self._pack_around(kept)
 
-    def _pack_around(self, holders: Sequence[tuple[RunningJob, Slot]]) -> Packing:
+    def _pack_around(self, holders: Sequence[tuple[RunningJob, CellSlot]]) -> Packing:
         self.bound = {}
-        self.capacity = {name: bay.accelerators for name, bay in self.bays.items()}
+        self.capacity = {
+            name: worker.accelerators for name, worker in self.bins.items()
+        }
         for gang, slot in holders:
             used: dict[str, int] = {}
             for member in gang.members:
@@ -111,24 +113,33 @@
                     member.accelerators
                 )
             rack = next(
-                (self.benches[w].view.rack for w in used if w in self.benches), ""
+                (
+                    self.worker_plans[w].view.rack
+                    for w in used
+                    if w in self.worker_plans
+                ),
+                "",
             )
             self.bind(slot, rack, used, gang)
         return self.pack(lambda _: 0.0)
 
     def bind(
-        self, slot: Slot, rack: str, used: dict[str, int], gang: RunningJob | None
+        self, slot: CellSlot, rack: str, used: dict[str, int], gang: RunningJob | None
     ) -> None:
         """Put a gang into a slot, binding the slot if it was not."""
         bound = self.bound.get(slot)
         if bound is None:
-            bound = self.bound[slot] = Bound(slot, rack, {}, [])
-            if not slot.whole:
+            bound = self.bound[slot] = BoundSlot(slot, rack, {}, [])
+            if not slot.whole_workers:
                 for worker in used:
                     if worker in self.capacity:
                         self.capacity[worker] -= slot.accelerators
         for worker, count in used.items():
-            if slot.whole and worker not in bound.used and worker in self.capacity:
+            if (
+                slot.whole_workers
+                and worker not in bound.used
+                and worker in self.capacity
+            ):
                 self.capacity[worker] = 0
             bound.used[worker] = bound.used.get(worker, 0) + count
         if gang is not None:
@@ -140,8 +151,8 @@
             job.spec, job.organisation, job.urgency, members, self.view.now
         )
         for member in members:
-            bench = self.benches[member.worker]
-            bench.holds.append((gang, len(member.accelerators)))
+            worker_plan = self.worker_plans[member.worker]
+            worker_plan.holds.append((gang, len(member.accelerators)))
         return gang
 
     def list_needs(self) -> Iterable[Need]:
@@ -150,35 +161,37 @@
             bound = self.bound.get(slot)
             if bound is None:
                 yield Need(slot, slot.accelerators)
-            elif slot.whole:
+            elif slot.whole_workers:
                 rest = slot.accelerators - self.count_covered(bound)
                 if rest > 0:
                     yield Need(slot, rest, bound.rack)
 
-    def count_covered(self, bound: Bound) -> int:
+    def count_covered(self, bound: BoundSlot) -> int:
         """Return the accelerators of the whole workers that a bound slot has."""
         return sum(
-            self.benches[w].view.accelerators for w in bound.used if w in self.benches
+            self.worker_plans[w].view.accelerators
+            for w in bound.used
+            if w in self.worker_plans
         )
 
     def pack(self, cost: Cost) -> Packing:
         """Find a place for everything that needs one."""
-        return pack_needs(self.list_needs(), self.bays, self.capacity, cost)
+        return pack_needs(self.list_needs(), self.bins, self.capacity, cost)
 
     def count_held(self, worker: str) -> float:
         """Return the accelerators that gangs hold of a worker."""
-        return sum(held for _, held in self.benches[worker].holds)
+        return sum(held for _, held in self.worker_plans[worker].holds)
 
-    def list_guarded(self) -> set[str]:
+    def list_guaranteed(self) -> set[str]:
         """Return the jobs that run in guaranteed cells."""
         return {g.spec.id for bound in self.bound.values() for g in bound.gangs}
 
 
-def _lay_benches(view: DomainView) -> dict[str, Bench]:
-    benches = {
-        w.name: Bench(
+def _plan_workers(view: DomainView) -> dict[str, WorkerPlan]:
+    worker_plans = {
+        w.name: WorkerPlan(
             w,
-            Room(w, list(w.free), w.cpus_free, w.memory_free_mb),
+            FreeCapacity(w, list(w.free), w.cpus_free, w.memory_free_mb),
             w.cpus_free,
             w.memory_free_mb,
             [],
@@ -187,13 +200,13 @@
     }
     for gang in view.running:
         for member in gang.members:
-            bench = benches.get(member.worker)
-            if bench is None:
+            worker_plan = worker_plans.get(member.worker)
+            if worker_plan is None:
                 continue
-            bench.holds.append((gang, len(member.accelerators)))
-            bench.cpus += gang.spec.cpus
-            bench.memory_mb += gang.spec.memory_mb
-    return benches
+            worker_plan.holds.append((gang, len(member.accelerators)))
+            worker_plan.cpus += gang.spec.cpus
+            worker_plan.memory_mb += gang.spec.memory_mb
+    return worker_plans
 
 
 def find_degraded(view: DomainView) -> dict[str, str]:
@@ -202,12 +215,12 @@
     Workers die, and with them the room of a shape. The guarantee then cannot be
     honoured whatever is evicted, and its owner is told so instead of waiting.
     """
-    board = Board(view)
+    plan = PlacementPlan(view)
     reasons: dict[str, str] = {}
-    for need in board.packing.missing:
+    for need in plan.packing.missing:
         reasons.setdefault(
             need.slot.organisation,
             f"no place for cell {need.slot.name} ({need.accelerators} accelerators): "
-            f"{len(board.bays)} of {len(view.workers)} workers are usable",
+            f"{len(plan.bins)} of {len(view.workers)} workers are usable",
         )
     return reasons
--- a/src/firladder/_internal/policies/dispatching.py
+++ b/src/firladder/_internal/policies/dispatching.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable, Sequence
 
 from ..exceptions import DeadlineUnreachable, Failure
-from .admission import ADMISSIONS, AdmissionPolicy, spread_return
+from .admission import ADMISSIONS, AdmissionPolicy, spread_retry_after
 from .queueing import QUEUES, QueueCounts, RequestQueue
 from .request_views import ServiceView, TargetView, WaitingRequest
 from .routing import ROUTINGS, RoutingPolicy
 from .selectors import Selector
 from .sharing import SHARINGS, SharingPolicy
 
-REFUSED_MEMORY_S = 10.0
+REFUSED_DECAY_S = 10.0
 """Time constant over which refused work is expected to come back."""
 
 
@@ -88,12 +88,12 @@
             counts.weights,
             counts.count_ahead_of_own(req),
             request_share,
-            self._recall_refused(req.arrived_at) * expected_s,
+            self._decay_refused(req.arrived_at) * expected_s,
         )
         self._room = room
         failure = self._policies.admit(view, req, rng)
         if failure is not None:
-            self._note_refused(req.arrived_at)
+            self._record_refused(req.arrived_at)
         return failure
 
     def refuse_late(
@@ -104,20 +104,20 @@
         A slot spent on it would be lost to work that still can; its caller
         hears at once, and comes back apart from the others.
         """
-        self._note_refused(now)
-        crowd_s = self._recall_refused(now) * expected_s / max(1, self._room)
+        self._record_refused(now)
+        refused_work_s = self._decay_refused(now) * expected_s / max(1, self._room)
         return DeadlineUnreachable(
             reason="the deadline is too near for a target's answer",
             field="deadline_ms",
-            retry_after_s=spread_return(crowd_s, 0.0, rng),
+            retry_after_s=spread_retry_after(refused_work_s, 0.0, rng),
         )
 
-    def _note_refused(self, now: float) -> None:
-        self._refused = self._recall_refused(now) + 1
+    def _record_refused(self, now: float) -> None:
+        self._refused = self._decay_refused(now) + 1
         self._refused_at = now
 
-    def _recall_refused(self, now: float) -> float:
-        return self._refused * math.exp((self._refused_at - now) / REFUSED_MEMORY_S)
+    def _decay_refused(self, now: float) -> float:
+        return self._refused * math.exp((self._refused_at - now) / REFUSED_DECAY_S)
 
     def push(self, req: WaitingRequest, selector: Selector) -> None:
         """Let an admitted request wait."""
@@ -132,10 +132,10 @@
         queue = self._queues.get(selector)
         if queue is None or not queue.remove(req.id):
             return False
-        self._count_out(req, selector)
+        self._count_removed(req, selector)
         return True
 
-    def _count_out(self, req: WaitingRequest, selector: Selector) -> None:
+    def _count_removed(self, req: WaitingRequest, selector: Selector) -> None:
         self._counts.subtract(req)
         # Selectors come and go with the operators' rules. The default one
         # stays, with the turns between organisations that it remembers.
@@ -155,25 +155,25 @@
             return sends
         views = {s: {v.name: v for v in list_views(s)} for s in waiting}
         waiting = [s for s in waiting if views[s]]
-        open_ = dict.fromkeys(waiting)
-        while open_:
-            selector = min(open_, key=lambda s: self._queues[s].peek_rank(now) or 0)
+        unblocked = dict.fromkeys(waiting)
+        while unblocked:
+            selector = min(unblocked, key=lambda s: self._queues[s].peek_rank(now) or 0)
             target = self._policies.route(tuple(views[selector].values()), now, rng)
             req = self._queues[selector].pop(now) if target else None
             if target is None or req is None:
-                del open_[selector]
+                del unblocked[selector]
                 continue
             for known in views.values():
                 if target in known:
-                    known[target] = _add_one(known[target])
+                    known[target] = _add_in_flight(known[target])
             sends.append((req, target))
             drained = not self._queues[selector]
-            self._count_out(req, selector)
-            del open_[selector]  # to the end, so that equal queues take turns
+            self._count_removed(req, selector)
+            del unblocked[selector]  # to the end, so that equal queues take turns
             if not drained:
-                open_[selector] = None
+                unblocked[selector] = None
         return sends
 
 
-def _add_one(view: TargetView) -> TargetView:
+def _add_in_flight(view: TargetView) -> TargetView:
     return dataclasses.replace(view, in_flight=view.in_flight + 1)
--- a/src/firladder/_internal/policies/domain_selection.py
+++ b/src/firladder/_internal/policies/domain_selection.py
@@ -9,7 +9,7 @@
 from .selectors import Selector, collect_labels
 
 
-def count_possible(spec: JobSpec, workers: Sequence[Machine]) -> int:
+def count_members_when_empty(spec: JobSpec, workers: Sequence[Machine]) -> int:
     """Return how many members the workers hold when they are empty."""
     return sum(_count_members(spec, worker) for worker in workers)
 
@@ -31,7 +31,9 @@
     for worker in workers:
         key = {"worker": worker.name, "rack": worker.rack, "domain": ""}
         groups.setdefault(key[spec.adjacency], []).append(worker)
-    return any(count_possible(spec, g) >= spec.members for g in groups.values())
+    return any(
+        count_members_when_empty(spec, g) >= spec.members for g in groups.values()
+    )
 
 
 def choose_domain(
@@ -80,5 +82,5 @@
             field="members",
         )
     org = configuration.organisations.get(organisation)
-    home = {cell.failure_domain for cell in org.shape} if org else set()
-    return min(fitting, key=lambda d: (d not in home, load.get(d, 0), d))
+    guaranteed_domains = {cell.failure_domain for cell in org.shape} if org else set()
+    return min(fitting, key=lambda d: (d not in guaranteed_domains, load.get(d, 0), d))
--- a/src/firladder/_internal/policies/estimating.py
+++ b/src/firladder/_internal/policies/estimating.py
@@ -12,29 +12,29 @@
 from ..models.job import JobSpec
 from .registry import Registry
 
-RATIOS_KEPT = 20
+MAX_RATIOS = 20
 """Ratios kept for each class: enough for a steady median, few enough that a
 class whose jobs change is followed within twenty of them."""
 
-CLASSES_KEPT = 500
+MAX_CLASSES = 500
 """Classes kept at most, the oldest going first, so that callers who give every
 job labels of its own cannot fill the leader's memory: 500 times 20 floats."""
 
-LEAST_RATIO, MOST_RATIO = 0.01, 100.0
+MIN_RATIO, MAX_RATIO = 0.01, 100.0
 
 Estimator = Callable[[JobSpec, str, Mapping[str, float]], float]
 
 ESTIMATORS: Registry[Estimator] = Registry("run time estimator")
 
 
-def name_class(spec: JobSpec, organisation: str) -> str:
+def name_job_class(spec: JobSpec, organisation: str) -> str:
     """Return the class whose jobs are taken to err alike: organisation and labels."""
     labels = ",".join(f"{k}={v}" for k, v in sorted(spec.labels.items()))
     return f"{organisation}|{labels}"
 
 
 @ESTIMATORS.register("declared")
-def trust_declared(
+def use_declared(
     spec: JobSpec, organisation: str, history: Mapping[str, float]
 ) -> float:
     """Return the declared run time, in seconds."""
@@ -46,7 +46,7 @@
     spec: JobSpec, organisation: str, history: Mapping[str, float]
 ) -> float:
     """Return the declared run time times the ratio seen for the job's class."""
-    ratio = history.get(name_class(spec, organisation))
+    ratio = history.get(name_job_class(spec, organisation))
     if ratio is None:
         ratio = history.get(organisation, 1.0)
     return spec.run_time_s * ratio
@@ -58,17 +58,17 @@
     def __init__(self) -> None:
         """Start without any."""
         self._ratios: dict[str, deque[float]] = defaultdict(
-            lambda: deque(maxlen=RATIOS_KEPT)
+            lambda: deque(maxlen=MAX_RATIOS)
         )
         self._medians: dict[str, float] = {}
 
     def record_run(self, spec: JobSpec, organisation: str, run_s: float) -> None:
         """Take in the real run time of a job that is done."""
-        ratio = min(MOST_RATIO, max(LEAST_RATIO, run_s / spec.run_time_s))
-        for name in (name_class(spec, organisation), organisation):
+        ratio = min(MAX_RATIO, max(MIN_RATIO, run_s / spec.run_time_s))
+        for name in (name_job_class(spec, organisation), organisation):
             self._ratios[name].append(ratio)
             self._medians[name] = statistics.median(self._ratios[name])
-        while len(self._ratios) > CLASSES_KEPT:
+        while len(self._ratios) > MAX_CLASSES:
             oldest = next(iter(self._ratios))
             del self._ratios[oldest], self._medians[oldest]
 
--- a/src/firladder/_internal/policies/membership.py
+++ b/src/firladder/_internal/policies/membership.py
@@ -16,7 +16,7 @@
 """Times the expected period without a word after which a peer counts as lost.
 One lost packet or a pause of a second must not empty a gateway's shares."""
 
-FORGET_PERIODS = 600
+EXPIRY_PERIODS = 600
 """Periods after which a silent peer's row is dropped; VMs are replaced daily."""
 
 NEAR_FANOUT = 2
@@ -28,7 +28,7 @@
 RETRY_FANOUT = 2
 """Lost peers, and addresses not heard of yet, tried each period."""
 
-FRESH_PART = 0.8
+FRESH_FRACTION = 0.8
 """Part of a period within which a close peer that was heard is not greeted:
 one exchange tells both sides, so a second one is paid for nothing."""
 
@@ -45,7 +45,7 @@
     lost: bool
 
     @property
-    def touched_at(self) -> float:
+    def contacted_at(self) -> float:
         """Return when the last exchange with the peer was begun."""
         return max(self.heard_at, self.asked_at)
 
@@ -60,7 +60,7 @@
     role: str
     peers: tuple[PeerView, ...]
 
-    def is_close(self, peer: PeerView) -> bool:
+    def shares_targets_with(self, peer: PeerView) -> bool:
         """Tell whether this process shares targets with the peer."""
         near = peer.failure_domain == self.failure_domain
         return near and self.role == peer.role == "gateway"
@@ -68,8 +68,8 @@
     def split(self) -> tuple[list[PeerView], list[PeerView], list[list[PeerView]]]:
         """Return close peers, others nearby, and those of each other domain."""
         near = [p for p in self.peers if p.failure_domain == self.failure_domain]
-        close = [p for p in near if self.is_close(p)]
-        others = [p for p in near if not self.is_close(p)]
+        close = [p for p in near if self.shares_targets_with(p)]
+        others = [p for p in near if not self.shares_targets_with(p)]
         return close, others, _group_far(self)
 
 
@@ -86,13 +86,13 @@
     """Return the addresses to greet in this period."""
     alive = dataclasses.replace(view, peers=tuple(p for p in view.peers if not p.lost))
     close, others, far = alive.split()
-    due = view.now - FRESH_PART * view.period_s
+    due = view.now - FRESH_FRACTION * view.period_s
     greeted = {p.address for p in close if p.heard_at < due}
     # Strictly by turns: drawn at random, a live peer can go undrawn for longer
     # than the limit of its silence.
-    turns = sorted(others, key=lambda p: p.touched_at)[:NEAR_FANOUT]
+    turns = sorted(others, key=lambda p: p.contacted_at)[:NEAR_FANOUT]
     domains = sorted(far, key=lambda group: max(p.asked_at for p in group))
-    visits = (min(g, key=lambda p: p.touched_at) for g in domains[:FAR_FANOUT])
+    visits = (min(g, key=lambda p: p.contacted_at) for g in domains[:FAR_FANOUT])
     # Lost peers and strangers are tried again: after a cut heals nobody else
     # may tell this process that they are back.
     lost = [p.address for p in view.peers if p.lost]
@@ -129,7 +129,7 @@
 
 def find_expired(view: FleetView) -> set[str]:
     """Return the peers whose rows need not be kept any longer."""
-    oldest = view.now - FORGET_PERIODS * view.period_s
+    oldest = view.now - EXPIRY_PERIODS * view.period_s
     return {p.address for p in view.peers if p.heard_at < oldest}
 
 
--- a/src/firladder/_internal/policies/placement.py
+++ b/src/firladder/_internal/policies/placement.py
@@ -120,7 +120,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Room:
+class FreeCapacity:
     """Free room of a worker while a plan is being made."""
 
     view: WorkerView
@@ -148,47 +148,53 @@
         return taken
 
 
-def make_rooms(workers: Iterable[WorkerView]) -> list[Room]:
+def list_free_capacity(workers: Iterable[WorkerView]) -> list[FreeCapacity]:
     """Return the room on every usable worker."""
     return [
-        Room(w, list(w.free), w.cpus_free, w.memory_free_mb)
+        FreeCapacity(w, list(w.free), w.cpus_free, w.memory_free_mb)
         for w in workers
         if w.usable
     ]
 
 
-def group_rooms(spec: JobSpec, rooms: Iterable[Room]) -> list[list[Room]]:
+def group_by_adjacency(
+    spec: JobSpec, capacities: Iterable[FreeCapacity]
+) -> list[list[FreeCapacity]]:
     """Return the groups of workers within which all members must lie."""
-    ordered = sorted(rooms, key=lambda r: (r.view.rack, r.view.name))
+    ordered = sorted(capacities, key=lambda r: (r.view.rack, r.view.name))
     if spec.adjacency == "worker":
-        return [[room] for room in ordered]
+        return [[capacity] for capacity in ordered]
     if spec.adjacency == "rack":
         by_rack = itertools.groupby(ordered, key=lambda r: r.view.rack)
         return [list(group) for _, group in by_rack]
     return [ordered]
 
 
-def place_gang(job: QueuedJob, rooms: Iterable[Room]) -> tuple[Member, ...] | None:
+def place_gang(
+    job: QueuedJob, capacities: Iterable[FreeCapacity]
+) -> tuple[Member, ...] | None:
     """Take room for a whole gang in the first group that holds it, or none."""
     allowed = [
         r
-        for r in rooms
+        for r in capacities
         if r.view.name not in job.avoid and job.workers.match(r.view.labels)
     ]
-    for group in group_rooms(job.spec, allowed):
-        counts = [(room, room.count_members(job.spec)) for room in group]
+    for group in group_by_adjacency(job.spec, allowed):
+        counts = [(capacity, capacity.count_members(job.spec)) for capacity in group]
         if sum(count for _, count in counts) >= job.spec.members:
             return _take_members(job.spec, counts)
     return None
 
 
-def _take_members(spec: JobSpec, counts: list[tuple[Room, int]]) -> tuple[Member, ...]:
+def _take_members(
+    spec: JobSpec, counts: list[tuple[FreeCapacity, int]]
+) -> tuple[Member, ...]:
     slots = itertools.chain.from_iterable(
-        itertools.repeat(room, count) for room, count in counts
+        itertools.repeat(capacity, count) for capacity, count in counts
     )
     return tuple(
-        Member(f"{spec.id}.{number}", room.view.name, room.take(spec))
-        for number, room in enumerate(itertools.islice(slots, spec.members))
+        Member(f"{spec.id}.{number}", capacity.view.name, capacity.take(spec))
+        for number, capacity in enumerate(itertools.islice(slots, spec.members))
     )
 
 
@@ -207,6 +213,6 @@
 @PLACEMENTS.register("first_fit")
 def place_first_fit(view: DomainView) -> list[Action]:
     """Start whatever fits, in order of the queue; the simplest baseline."""
-    rooms = make_rooms(view.workers)
-    placed = ((job, place_gang(job, rooms)) for job in order_queue(view))
+    capacities = list_free_capacity(view.workers)
+    placed = ((job, place_gang(job, capacities)) for job in order_queue(view))
     return [Place(job.spec.id, members) for job, members in placed if members]
--- a/src/firladder/_internal/policies/placement_catalogue.py
+++ b/src/firladder/_internal/policies/placement_catalogue.py
@@ -1,6 +1,6 @@
 """All placement policies; importing this fills the registry."""
 
-from . import ladder
+from . import placement_policies
 from .placement import PLACEMENTS
 
-__all__ = ["PLACEMENTS", "ladder"]
+__all__ = ["PLACEMENTS", "placement_policies"]
--- a/src/firladder/_internal/policies/ladder.py
+++ b/src/firladder/_internal/policies/placement_policies.py
@@ -4,8 +4,8 @@
 import itertools
 from collections.abc import Iterable, Sequence
 
-from .backfill import Backfiller, BestFit, Limits, choose_first
-from .cells import Board
+from .backfill import Backfiller, BackfillLimits, BestFit, choose_first_fit
+from .cells import PlacementPlan
 from .estimating import ESTIMATORS
 from .placement import (
     PLACEMENTS,
@@ -13,20 +13,20 @@
     Action,
     DomainView,
     Finish,
+    FreeCapacity,
     Place,
     Preempt,
     QueuedJob,
-    Room,
     RunningJob,
-    group_rooms,
-    make_rooms,
+    group_by_adjacency,
+    list_free_capacity,
     order_queue,
     place_gang,
 )
 from .quarantine import is_at_fault
-from .reclaiming import RECLAIMS
+from .reclaim_policies import RECLAIMS
 
-RESERVATIONS = 3
+MAX_RESERVATIONS = 3
 """Waiting gangs that hold a reservation at once, so that several large jobs gather
 workers at the same time; more would leave nothing for small jobs."""
 
@@ -35,7 +35,7 @@
 fill the reserved workers; their estimates are wrong often enough that without
 a bound a large gang could be put off for ever."""
 
-LARGE_PART = 0.5
+LARGE_GANG_FRACTION = 0.5
 """A gang of at least this part of a worker's accelerators on each of two or more
 workers, or of a whole worker, counts as large."""
 
@@ -44,15 +44,15 @@
 gaps anyway, a large gang only where all else makes way; the bound keeps a stream
 of large gangs from starving small jobs, which overtake it once they are older."""
 
-SPARE_AFTER_S = 300.0
+PROTECT_AFTER_S = 300.0
 """Wait, in seconds, after which owners' small jobs spare a large gang's workers."""
 
-SWAP_AFTER_S = 300.0
+PREEMPT_SMALL_AFTER_S = 300.0
 """Wait, in seconds, after which small checkpointable borrowers make way for a large
 gang even if they have to queue again. They lose a restart and find a gap within
 minutes; the large gang else waits for whole workers that never come together."""
 
-MOVES_IN_FLIGHT = 8
+MAX_MOVES_IN_FLIGHT = 8
 """Gangs being moved by checkpoint at once in a failure domain: each costs its
 job a restart, and more would make the cure dearer than fragmentation."""
 
@@ -64,8 +64,8 @@
 @PLACEMENTS.register("fcfs")
 def place_fcfs(view: DomainView) -> list[Action]:
     """Start jobs strictly in order; the first that does not fit stops all."""
-    rooms = make_rooms(view.workers)
-    placed = ((job, place_gang(job, rooms)) for job in order_queue(view))
+    capacities = list_free_capacity(view.workers)
+    placed = ((job, place_gang(job, capacities)) for job in order_queue(view))
     return [
         Place(job.spec.id, members)
         for job, members in itertools.takewhile(lambda p: p[1] is not None, placed)
@@ -79,16 +79,16 @@
     estimator = ESTIMATORS.find("declared")
     assert estimator is not None
     backfiller = Backfiller(
-        Board(dataclasses.replace(view, organisations={})),
+        PlacementPlan(dataclasses.replace(view, organisations={})),
         estimator=estimator,
-        choose=choose_first,
-        limits=Limits(reservations=1),
+        choose=choose_first_fit,
+        limits=BackfillLimits(reservations=1),
     )
     return [*backfiller.run(order_queue(view))]
 
 
 @PLACEMENTS.register("cells")
-def place_cells(view: DomainView) -> list[Action]:
+def place_guaranteed_cells(view: DomainView) -> list[Action]:
     """Give owners their cells, lend the rest, and reserve for large gangs."""
     return _place(view, reclaim="least_lost")
 
@@ -102,33 +102,35 @@
 def _place(view: DomainView, *, reclaim: str) -> list[Action]:
     chosen, estimator = RECLAIMS.find(reclaim), ESTIMATORS.find("history")
     assert chosen is not None and estimator is not None
-    board = Board(view)
-    ended = end_faulty(view)
+    plan = PlacementPlan(view)
+    ended = end_failing_jobs(view)
     gone = {a.job for a in ended}
     queue = [j for j in order_queue(view) if j.spec.id not in gone]
     # Idle cells are taken to lie on the emptiest workers, where lasting work would
     # do the most harm: there it breaks up whole workers, and is evicted first.
-    idle = board.pack(board.count_held).sites
-    lend_late = (n for s, site in idle.items() if s.whole for n, _ in site)
-    choose = BestFit(frozenset(lend_late))
-    limits = Limits(RESERVATIONS, DRAIN_AFTER_S)
+    idle = plan.pack(plan.count_held).placements
+    lend_last = (
+        n for s, placement in idle.items() if s.whole_workers for n, _ in placement
+    )
+    choose = BestFit(frozenset(lend_last))
+    limits = BackfillLimits(MAX_RESERVATIONS, DRAIN_AFTER_S)
 
     def make_backfiller() -> Backfiller:
-        return Backfiller(board, estimator=estimator, choose=choose, limits=limits)
+        return Backfiller(plan, estimator=estimator, choose=choose, limits=limits)
 
-    waiting = (j for j in sort_borrowers(view, queue) if is_patient(view, j))
+    waiting = (j for j in sort_borrowers(view, queue) if is_overdue(view, j))
     reserved = make_backfiller().reserve_for(waiting)
-    claims, owed = chosen(board, queue, reserved, choose)
+    claims, owed = chosen(plan, queue, reserved, choose)
     backfiller = make_backfiller()
     rest = sort_borrowers(view, (j for j in queue if j.spec.id not in owed))
     placed = backfiller.run(rest)
     evicted = {a.job for a in claims if isinstance(a, Preempt)}
-    moves = MovePlan(board, backfiller, evicted).list_moves(rest)
+    moves = MovePlanner(plan, backfiller, evicted).list_moves(rest)
     leaving = evicted | {a.job for a in moves if isinstance(a, Preempt)}
-    return [*ended, *claims, *placed, *moves, *move_mismatched(board, leaving)]
+    return [*ended, *claims, *placed, *moves, *move_mismatched(plan, leaving)]
 
 
-def end_faulty(view: DomainView) -> list[Finish]:
+def end_failing_jobs(view: DomainView) -> list[Finish]:
     """End jobs that failed on so many healthy workers that they are to blame."""
     unusable = {w.name for w in view.workers if not w.usable}
     return [
@@ -157,18 +159,21 @@
 def is_large(job: QueuedJob, worker_size: int) -> bool:
     """Tell whether a gang needs whole workers, or most of several."""
     each = job.spec.accelerators
-    several = job.spec.members * each > worker_size and each >= LARGE_PART * worker_size
+    several = (
+        job.spec.members * each > worker_size
+        and each >= LARGE_GANG_FRACTION * worker_size
+    )
     return worker_size > 0 and (each >= worker_size or several)
 
 
-def is_patient(view: DomainView, job: QueuedJob) -> bool:
+def is_overdue(view: DomainView, job: QueuedJob) -> bool:
     """Tell whether a large gang has waited so long that others make way for it."""
     worker_size = max((w.accelerators for w in view.workers), default=0)
     waited_s = view.now - job.submitted_at
-    return waited_s > SPARE_AFTER_S and is_large(job, worker_size)
+    return waited_s > PROTECT_AFTER_S and is_large(job, worker_size)
 
 
-class MovePlan:
+class MovePlanner:
     """Moves by checkpoint that let a waiting large gang start.
 
     The load this is made for: enough accelerators are free, but spread over
@@ -177,20 +182,22 @@
     room for each of them elsewhere now; else it only changes who waits.
     """
 
-    def __init__(self, board: Board, backfiller: Backfiller, leaving: set[str]) -> None:
+    def __init__(
+        self, plan: PlacementPlan, backfiller: Backfiller, leaving: set[str]
+    ) -> None:
         """Plan around the reservations of a backfill pass."""
-        self._board = board
+        self._plan = plan
         self._backfiller = backfiller
-        self._guarded = board.list_guarded()
-        self._leaving = leaving | {g.spec.id for g in board.view.running if g.stopping}
-        self._running = {g.spec.id for g in board.view.running}
+        self._guaranteed = plan.list_guaranteed()
+        self._leaving = leaving | {g.spec.id for g in plan.view.running if g.stopping}
+        self._running = {g.spec.id for g in plan.view.running}
 
     def list_moves(self, queue: Sequence[QueuedJob]) -> list[Action]:
         """Return the evictions for the first reservation that moves can serve."""
         jobs = {j.spec.id: j for j in queue}
         for reservation in self._backfiller.reservations:
-            gain_s = reservation.start_at - self._board.view.now
-            moved = self._find_moved(jobs[reservation.job], gain_s)
+            gain_s = reservation.start_at - self._plan.view.now
+            moved = self._choose_moves(jobs[reservation.job], gain_s)
             if moved:
                 return [
                     Preempt(g.spec.id, reservation.job, "moved to defragment")
@@ -198,11 +205,11 @@
                 ]
         return []
 
-    def _find_moved(self, job: QueuedJob, gain_s: float) -> list[RunningJob]:
+    def _choose_moves(self, job: QueuedJob, gain_s: float) -> list[RunningJob]:
         spec = job.spec
-        rooms = [
+        capacities = [
             b.room
-            for n, b in self._board.benches.items()
+            for n, b in self._plan.worker_plans.items()
             if b.view.usable
             and n not in job.avoid
             and job.workers.match(b.view.labels)
@@ -210,15 +217,15 @@
         ]
         gain = gain_s * spec.members * spec.accelerators
         plans = []
-        for group in group_rooms(spec, rooms):
+        for group in group_by_adjacency(spec, capacities):
             moved = self._vacate(job, group)
             cost = MOVE_COST_S * sum(map(_count_held, moved or ()))
-            if moved and cost < gain and len(moved) <= self._count_left():
+            if moved and cost < gain and len(moved) <= self._count_moves_left():
                 plans.append((cost, [g.spec.id for g in moved], moved))
         return min(plans, key=lambda p: p[:2])[2] if plans else []
 
-    def _count_left(self) -> int:
-        return MOVES_IN_FLIGHT - len(self._leaving)
+    def _count_moves_left(self) -> int:
+        return MAX_MOVES_IN_FLIGHT - len(self._leaving)
 
     def _can_vacate(self, worker: str) -> bool:
         return all(
@@ -226,13 +233,15 @@
             or (
                 g.spec.checkpointable
                 and g.spec.id in self._running
-                and g.spec.id not in self._guarded
-                and self._board.view.now - g.started_at > MOVE_COST_S
+                and g.spec.id not in self._guaranteed
+                and self._plan.view.now - g.started_at > MOVE_COST_S
             )
-            for g, _ in self._board.benches[worker].holds
+            for g, _ in self._plan.worker_plans[worker].holds
         )
 
-    def _vacate(self, job: QueuedJob, group: Sequence[Room]) -> list[RunningJob] | None:
+    def _vacate(
+        self, job: QueuedJob, group: Sequence[FreeCapacity]
+    ) -> list[RunningJob] | None:
         """Return who must leave so that the gang fits, or None."""
         spec = job.spec
         if spec.accelerators == 0:
@@ -243,38 +252,40 @@
             key=lambda r: (sum(map(_count_held, held[r.view.name])), r.view.name),
         )
         left, chosen = spec.members, []
-        for room in ordered:
+        for capacity in ordered:
             if left <= 0:
                 break
-            left -= room.view.accelerators // spec.accelerators
-            chosen.append(room.view.name)
+            left -= capacity.view.accelerators // spec.accelerators
+            chosen.append(capacity.view.name)
         if left > 0:
             return None
         moved = list({g.spec.id: g for n in chosen for g in held[n]}.values())
-        waited_s = self._board.view.now - job.submitted_at
-        if waited_s > SWAP_AFTER_S and all(map(self._is_small, moved)):
+        waited_s = self._plan.view.now - job.submitted_at
+        if waited_s > PREEMPT_SMALL_AFTER_S and all(map(self._is_small, moved)):
             return moved
         return moved if self._fit_elsewhere(moved, set(chosen)) else None
 
     def _is_small(self, gang: RunningJob) -> bool:
         return len({m.worker for m in gang.members}) == 1 and not any(
-            len(m.accelerators) == self._board.benches[m.worker].view.accelerators
+            len(m.accelerators) == self._plan.worker_plans[m.worker].view.accelerators
             for m in gang.members
         )
 
     def _list_holders(self, worker: str) -> list[RunningJob]:
-        holds = self._board.benches[worker].holds
+        holds = self._plan.worker_plans[worker].holds
         return [g for g, _ in holds if g.spec.id not in self._leaving]
 
     def _fit_elsewhere(self, gangs: Sequence[RunningJob], closed: set[str]) -> bool:
-        rooms = [
+        capacities = [
             dataclasses.replace(b.room, free=list(b.room.free))
-            for n, b in self._board.benches.items()
+            for n, b in self._plan.worker_plans.items()
             if b.view.usable and n not in closed
         ]
         choose = BestFit()
         return all(
-            choose(QueuedJob(g.spec, g.organisation, g.urgency, g.workers, 0.0), rooms)
+            choose(
+                QueuedJob(g.spec, g.organisation, g.urgency, g.workers, 0.0), capacities
+            )
             for g in gangs
         )
 
@@ -283,23 +294,23 @@
     return sum(max(1, len(m.accelerators)) for m in gang.members)
 
 
-def move_mismatched(board: Board, leaving: set[str]) -> list[Action]:
+def move_mismatched(plan: PlacementPlan, leaving: set[str]) -> list[Action]:
     """Move work off workers that its selector no longer allows.
 
     Operators change selectors and labels while work runs. What can checkpoint is
     moved, as soon as there is room where it may run now; all else runs to its
     end where it is, for stopping it would lose work that was promised.
     """
-    labels = {w.name: w.labels for w in board.view.workers}
-    rooms = [
+    labels = {w.name: w.labels for w in plan.view.workers}
+    capacities = [
         dataclasses.replace(b.room, free=list(b.room.free))
-        for b in board.benches.values()
+        for b in plan.worker_plans.values()
         if b.view.usable
     ]
     choose = BestFit()
     wrong = (
         g
-        for g in board.view.running
+        for g in plan.view.running
         if g.spec.checkpointable
         and not g.stopping
         and g.spec.id not in leaving
@@ -307,6 +318,8 @@
     )
     return [
         Preempt(g.spec.id, g.spec.id, "moved: its selector no longer allows the worker")
-        for g in itertools.islice(wrong, MOVES_IN_FLIGHT)
-        if choose(QueuedJob(g.spec, g.organisation, g.urgency, g.workers, 0.0), rooms)
+        for g in itertools.islice(wrong, MAX_MOVES_IN_FLIGHT)
+        if choose(
+            QueuedJob(g.spec, g.organisation, g.urgency, g.workers, 0.0), capacities
+        )
     ]
--- a/src/firladder/_internal/policies/lending.py
+++ b/src/firladder/_internal/policies/preemption.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from .cells import Board
+from .cells import PlacementPlan
 from .placement import Preempt, QueuedJob, RunningJob
 
 RESTART_S = 30.0
@@ -10,25 +10,25 @@
 a checkpointable gang loses, so that it is evicted before one that cannot save."""
 
 
-class Lending:
+class VictimChooser:
     """The borrowers of one placement pass, and those who must leave in it."""
 
-    def __init__(self, board: Board) -> None:
+    def __init__(self, plan: PlacementPlan) -> None:
         """Weigh what the eviction of each running gang would lose."""
-        self.board = board
+        self.plan = plan
         self.victims: dict[str, Preempt] = {}
-        self._guarded = board.list_guarded()
-        self._coming: dict[str, int] = {}
+        self._guaranteed = plan.list_guaranteed()
+        self._promised: dict[str, int] = {}
         self._losses = {
-            g.spec.id: 0.0 if g.stopping else count_loss(g, board.view.now)
-            for g in board.view.running
+            g.spec.id: 0.0 if g.stopping else count_loss(g, plan.view.now)
+            for g in plan.view.running
         }
 
-    def is_lent(self, gang: RunningJob) -> bool:
+    def is_borrower(self, gang: RunningJob) -> bool:
         """Tell whether a gang may be evicted for an owner."""
-        return gang.spec.id not in self._guarded
+        return gang.spec.id not in self._guaranteed
 
-    def is_leaving(self, gang: RunningJob) -> bool:
+    def is_stopping(self, gang: RunningJob) -> bool:
         """Tell whether a gang is on its way out already."""
         return gang.stopping or gang.spec.id in self.victims
 
@@ -36,38 +36,40 @@
         """Return the work lost if all borrowers of a worker were evicted."""
         return sum(
             self._losses[g.spec.id]
-            for g, _ in self.board.benches[worker].holds
-            if self.is_lent(g) and g.spec.id not in self.victims
+            for g, _ in self.plan.worker_plans[worker].holds
+            if self.is_borrower(g) and g.spec.id not in self.victims
         )
 
-    def _count_part_loss(self, worker: str, job: QueuedJob) -> float:
+    def _count_victims_loss(self, worker: str, job: QueuedJob) -> float:
         victims = self._choose_victims(worker, job, job.spec.members)
         return sum(self._losses[g.spec.id] for g in victims)
 
-    def _count_new_loss(self, worker: str, lost: set[str]) -> float:
+    def _count_added_loss(self, worker: str, lost: set[str]) -> float:
         return sum(
             self._losses[g.spec.id]
-            for g, _ in self.board.benches[worker].holds
-            if self.is_lent(g) and g.spec.id not in {*self.victims, *lost}
+            for g, _ in self.plan.worker_plans[worker].holds
+            if self.is_borrower(g) and g.spec.id not in {*self.victims, *lost}
         )
 
     def _choose_victims(
         self, worker: str, job: QueuedJob, count: int
     ) -> list[RunningJob]:
         """Return the borrowers to evict so that the members fit, cheapest first."""
-        bench, spec = self.board.benches[worker], job.spec
-        leaving = [(g, n) for g, n in bench.holds if self.is_leaving(g)]
+        worker_plan, spec = self.plan.worker_plans[worker], job.spec
+        leaving = [(g, n) for g, n in worker_plan.holds if self.is_stopping(g)]
         accelerators = (
             count * spec.accelerators
-            - len(bench.room.free)
+            - len(worker_plan.room.free)
             - sum(n for _, n in leaving)
-            + self._coming.get(worker, 0)
+            + self._promised.get(worker, 0)
+        )
+        cpus = count * spec.cpus - worker_plan.room.cpus - _sum_cpus(leaving)
+        memory = (
+            count * spec.memory_mb - worker_plan.room.memory_mb - _sum_memory(leaving)
         )
-        cpus = count * spec.cpus - bench.room.cpus - _sum_cpus(leaving)
-        memory = count * spec.memory_mb - bench.room.memory_mb - _sum_memory(leaving)
         lent: dict[str, tuple[RunningJob, int]] = {}
-        for gang, held in bench.holds:
-            if self.is_lent(gang) and not self.is_leaving(gang):
+        for gang, held in worker_plan.holds:
+            if self.is_borrower(gang) and not self.is_stopping(gang):
                 known = lent.get(gang.spec.id, (gang, 0))[1]
                 lent[gang.spec.id] = (gang, known + held)
         ordered = sorted(lent.values(), key=lambda item: self._rank_victim(*item))
--- a/src/firladder/_internal/policies/quarantine.py
+++ b/src/firladder/_internal/policies/quarantine.py
@@ -17,11 +17,11 @@
 """Seconds until a quarantined worker is tried with work again; doubled after each
 failed probe."""
 
-LONGEST_QUARANTINE_S = 3600.0
+MAX_QUARANTINE_S = 3600.0
 """A worker that was repaired is back within an hour without anybody's help, and
 one that was not costs one failed start an hour."""
 
-WORKERS_TO_BLAME_JOB = 3
+FAILED_WORKERS_TO_BLAME_JOB = 3
 """Distinct healthy workers on which a job failed before the job is at fault."""
 
 
@@ -30,19 +30,19 @@
     """What is held against a worker. Times are monotonic, in seconds."""
 
     failed_jobs: set[str] = dataclasses.field(default_factory=set)
-    until: float | None = None
+    quarantined_until: float | None = None
     failed_probes: int = 0
 
     @property
     def quarantined(self) -> bool:
         """Tell whether the worker is in quarantine, a probe included."""
-        return self.until is not None
+        return self.quarantined_until is not None
 
     def record_failure(self, job: str, now: float) -> bool:
         """Count a failed job; tell whether the worker goes into quarantine now."""
         self.failed_jobs.add(job)
-        if self.until is not None:
-            if now >= self.until:
+        if self.quarantined_until is not None:
+            if now >= self.quarantined_until:
                 self.failed_probes += 1
                 self._extend(now)
             return False
@@ -53,25 +53,27 @@
 
     def _extend(self, now: float) -> None:
         wait_s = PROBE_AFTER_S * 2.0**self.failed_probes
-        self.until = now + min(wait_s, LONGEST_QUARANTINE_S)
+        self.quarantined_until = now + min(wait_s, MAX_QUARANTINE_S)
 
     def record_success(self) -> None:
         """Clear the worker: it ran something to its end."""
         self.failed_jobs.clear()
-        self.until = None
+        self.quarantined_until = None
         self.failed_probes = 0
 
     def retract_failure(self, job: str) -> None:
         """Take back a failure that was the job's own fault."""
         self.failed_jobs.discard(job)
         if len(self.failed_jobs) < FAILURES_TO_QUARANTINE:
-            self.until = None
+            self.quarantined_until = None
 
     def accepts_work(self, now: float, *, busy: bool) -> bool:
         """Tell whether new work may go there; a probe runs alone."""
-        return self.until is None or (now >= self.until and not busy)
+        return self.quarantined_until is None or (
+            now >= self.quarantined_until and not busy
+        )
 
 
 def is_at_fault(failed_on: Iterable[str], quarantined: Iterable[str]) -> bool:
     """Tell whether a job failed on so many healthy workers that it is to blame."""
-    return len(set(failed_on) - set(quarantined)) >= WORKERS_TO_BLAME_JOB
+    return len(set(failed_on) - set(quarantined)) >= FAILED_WORKERS_TO_BLAME_JOB
--- a/src/firladder/_internal/policies/queueing.py
+++ b/src/firladder/_internal/policies/queueing.py
@@ -12,7 +12,7 @@
 AGEING_S: Mapping[Urgency, float] = {"urgent": 0.0, "normal": 2.0, "overnight": 10.0}
 """Seconds of waiting after which a request may go before more urgent ones."""
 
-AGED_EVERY = 8
+AGED_INTERVAL = 8
 """One place in so many goes to an aged request: urgent work then loses at most
 an eighth of the slots, and no request waits for ever behind it."""
 
@@ -71,7 +71,7 @@
         return iter(self._requests.values())
 
 
-class _FairClass:
+class _FairQueue:
     """Requests of one urgency, by fair turns between organisations.
 
     Each organisation has a virtual time that advances by one over its weight
@@ -81,21 +81,21 @@
 
     def __init__(self) -> None:
         self._queues: dict[str, OrderedDict[str, WaitingRequest]] = {}
-        self._times: dict[str, float] = {}
-        self._now = 0.0
+        self._virtual_times: dict[str, float] = {}
+        self._virtual_now = 0.0
         self.size = 0
 
     def push(self, req: WaitingRequest) -> None:
         queue = self._queues.get(req.organisation)
         if queue is None:
             queue = self._queues[req.organisation] = OrderedDict()
-            seen = self._times.get(req.organisation, 0.0)
-            self._times[req.organisation] = max(self._now, seen)
+            seen = self._virtual_times.get(req.organisation, 0.0)
+            self._virtual_times[req.organisation] = max(self._virtual_now, seen)
         queue[req.id] = req
         self.size += 1
 
     def pop(self) -> WaitingRequest:
-        organisation = min(self._queues, key=lambda o: (self._times[o], o))
+        organisation = min(self._queues, key=lambda o: (self._virtual_times[o], o))
         return self._take(organisation)
 
     def pop_oldest(self) -> WaitingRequest:
@@ -109,28 +109,28 @@
 
     def _take(self, organisation: str) -> WaitingRequest:
         req = self._queues[organisation].popitem(last=False)[1]
-        self._now = max(self._now, self._times[organisation])
-        self._times[organisation] += 1 / req.weight
-        self._shrink(organisation)
+        self._virtual_now = max(self._virtual_now, self._virtual_times[organisation])
+        self._virtual_times[organisation] += 1 / req.weight
+        self._count_removed(organisation)
         return req
 
     def remove(self, request_id: str) -> bool:
         for organisation, queue in self._queues.items():
             if queue.pop(request_id, None) is not None:
-                self._shrink(organisation)
+                self._count_removed(organisation)
                 return True
         return False
 
-    def _shrink(self, organisation: str) -> None:
+    def _count_removed(self, organisation: str) -> None:
         self.size -= 1
         if not self._queues[organisation]:
             del self._queues[organisation]
             # Organisations come and go with the configuration; a stale time
             # below the present one says nothing that must be kept.
-            self._times = {
+            self._virtual_times = {
                 o: t
-                for o, t in self._times.items()
-                if o in self._queues or t > self._now
+                for o, t in self._virtual_times.items()
+                if o in self._queues or t > self._virtual_now
             }
 
     def __iter__(self) -> Iterator[WaitingRequest]:
@@ -144,12 +144,12 @@
     Made for saturation by batch work while somebody waits beside a customer.
     Plain urgency would let a day of urgent work starve all else; plain ageing
     would let a night's backlog, once old, pass before every urgent request.
-    So aged work goes first only every ``AGED_EVERY``-th time.
+    So aged work goes first only every ``AGED_INTERVAL``-th time.
     """
 
     def __init__(self) -> None:
         """Start empty."""
-        self._classes = {u: _FairClass() for u in URGENCIES}
+        self._classes = {u: _FairQueue() for u in URGENCIES}
         self._turn = 0
 
     def push(self, req: WaitingRequest) -> None:
@@ -158,27 +158,27 @@
 
     def pop(self, now: float) -> WaitingRequest | None:
         """Take the next request out."""
-        filled = self._list_filled()
-        if not filled:
+        nonempty = self._list_nonempty()
+        if not nonempty:
             return None
         self._turn += 1
-        if self._turn % AGED_EVERY == 0:
-            aged = [u for u in filled[1:] if self._is_aged(u, now)]
+        if self._turn % AGED_INTERVAL == 0:
+            aged = [u for u in nonempty[1:] if self._is_aged(u, now)]
             if aged:
                 oldest = min(aged, key=lambda u: self._classes[u].find_oldest())
                 return self._classes[oldest].pop_oldest()
-        return self._classes[filled[0]].pop()
+        return self._classes[nonempty[0]].pop()
 
     def peek_rank(self, now: float) -> int | None:
         """Return the urgency rank of the next request, or None if empty."""
-        filled = self._list_filled()
-        return URGENCY_RANK[filled[0]] if filled else None
+        nonempty = self._list_nonempty()
+        return URGENCY_RANK[nonempty[0]] if nonempty else None
 
     def remove(self, request_id: str) -> bool:
         """Take a request out; tell whether it was there."""
         return any(c.remove(request_id) for c in self._classes.values())
 
-    def _list_filled(self) -> list[Urgency]:
+    def _list_nonempty(self) -> list[Urgency]:
         return [u for u in URGENCIES if self._classes[u].size]
 
     def _is_aged(self, urgency: Urgency, now: float) -> bool:
@@ -198,7 +198,7 @@
         """Start empty."""
         self.by_urgency: Counter[Urgency] = Counter()
         self.by_organisation: Counter[str] = Counter()
-        self.by_both: Counter[tuple[str, Urgency]] = Counter()
+        self.by_organisation_and_urgency: Counter[tuple[str, Urgency]] = Counter()
         self.weights: dict[str, int] = {}
 
     def add(self, req: WaitingRequest) -> None:
@@ -216,12 +216,12 @@
     def _count(self, req: WaitingRequest, by: int) -> None:
         self.by_urgency[req.urgency] += by
         self.by_organisation[req.organisation] += by
-        self.by_both[req.organisation, req.urgency] += by
+        self.by_organisation_and_urgency[req.organisation, req.urgency] += by
 
     def count_ahead_of_own(self, req: WaitingRequest) -> int:
         """Return the queued requests of its organisation that go before it."""
         return sum(
-            self.by_both[req.organisation, u]
+            self.by_organisation_and_urgency[req.organisation, u]
             for u in URGENCIES
             if URGENCY_RANK[u] <= URGENCY_RANK[req.urgency]
         )
--- a/src/firladder/_internal/policies/reclaim.py
+++ b/src/firladder/_internal/policies/reclaim.py
@@ -11,45 +11,47 @@
 
 from ..models.job import Member
 from .backfill import Chooser
-from .cell_packing import Slot
-from .cells import Bench, Board
-from .lending import Lending
+from .cell_packing import CellSlot
+from .cells import PlacementPlan, WorkerPlan
 from .placement import Action, Place, Preempt, QueuedJob
+from .preemption import VictimChooser
 
-FRESH_S = 2.0
+NEW_JOB_S = 2.0
 """Seconds for which a job counts as just come: a few placement passes."""
 
-TRIES = 16
+MAX_CANDIDATES = 16
 """Places tried for one cell at most. The first almost always serves; the packing
 itself names one that does, and is tried last."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Site:
+class Candidate:
     """Workers on which a gang would start, with the members on each."""
 
-    slot: Slot
+    slot: CellSlot
     members: tuple[tuple[str, int], ...]
 
 
-class Reclaimer(Lending):
+class Reclaimer(VictimChooser):
     """Claims of one placement pass, in the order of the queue."""
 
     def __init__(
         self,
-        board: Board,
+        plan: PlacementPlan,
         queue: Sequence[QueuedJob],
         reserved: frozenset[str],
         choose: Chooser,
     ) -> None:
         """Plan for the jobs in ``queue``, sparing workers kept for a large gang."""
-        super().__init__(board)
+        super().__init__(plan)
         self._reserved = reserved
         self._choose = choose
-        self._awaited = {j.organisation for j in queue if self._is_large(j)}
+        self._owners_awaiting_whole_workers = {
+            j.organisation for j in queue if self._is_large(j)
+        }
 
     def _is_large(self, job: QueuedJob) -> bool:
-        size = max((b.accelerators for b in self.board.bays.values()), default=0)
+        size = max((b.accelerators for b in self.plan.bins.values()), default=0)
         return 0 < size <= job.spec.accelerators
 
     def claim(self, job: QueuedJob) -> list[Action] | None:
@@ -60,109 +62,117 @@
         """
         if job.spec.accelerators == 0:
             return None
-        slots = self._list_candidates(job)
-        tight = [s for s in slots if self._is_tight(s, job)]
-        loose = [s for s in slots if s not in tight and not self._is_awaited(s)]
-        actions = self._claim_any(job, tight)
-        if actions is None and loose:
-            return self._start_lent(job) or self._claim_any(job, loose)
+        slots = self._list_usable_slots(job)
+        suitable = [s for s in slots if self._is_suitable(s, job)]
+        others = [
+            s for s in slots if s not in suitable and not self._awaits_whole_workers(s)
+        ]
+        actions = self._claim_any(job, suitable)
+        if actions is None and others:
+            return self._start_in_free_capacity(job) or self._claim_any(job, others)
         return actions
 
-    def _start_lent(self, job: QueuedJob) -> list[Action]:
+    def _start_in_free_capacity(self, job: QueuedJob) -> list[Action]:
         """Start a small job that has just come in the tightest idle room, if any.
 
         That leaves cells of whole workers whole. A job that was evicted, or found
         no room, is older by now and takes a cell, which nobody takes from it:
         else owners' small jobs would evict each other without end.
         """
-        if self.board.view.now - job.submitted_at > FRESH_S:
+        if self.plan.view.now - job.submitted_at > NEW_JOB_S:
             return []
-        rooms = [b.room for b in self.board.benches.values() if b.view.usable]
-        members = self._choose(job, rooms)
+        capacities = [b.room for b in self.plan.worker_plans.values() if b.view.usable]
+        members = self._choose(job, capacities)
         if members is None:
             return []
-        self.board.start(job, members)
-        self._guarded.add(job.spec.id)
+        self.plan.start(job, members)
+        self._guaranteed.add(job.spec.id)
         return [Place(job.spec.id, members)]
 
-    def _is_awaited(self, slot: Slot) -> bool:
+    def _awaits_whole_workers(self, slot: CellSlot) -> bool:
         """Tell whether a large job of the owner waits for a cell of whole workers."""
-        return slot.organisation in self._awaited
+        return slot.organisation in self._owners_awaiting_whole_workers
 
-    def _is_tight(self, slot: Slot, job: QueuedJob) -> bool:
+    def _is_suitable(self, slot: CellSlot, job: QueuedJob) -> bool:
         """Tell whether a slot is meant for such a job.
 
         A small job takes a cell of whole workers last, and not while a large job
         of its organisation waits: small ones would follow each other into the
         cell, and the large one would wait for ever for work that nobody evicts.
         """
-        return not slot.whole or self._is_large(job)
+        return not slot.whole_workers or self._is_large(job)
 
-    def _claim_any(self, job: QueuedJob, slots: Sequence[Slot]) -> list[Action] | None:
+    def _claim_any(
+        self, job: QueuedJob, slots: Sequence[CellSlot]
+    ) -> list[Action] | None:
         for slot in slots:
-            for site in itertools.islice(self._list_sites(job, slot), TRIES):
-                if self._try_bind(site, job):
-                    return self._occupy(site, job)
+            for candidate in itertools.islice(
+                self._list_candidates(job, slot), MAX_CANDIDATES
+            ):
+                if self._try_bind(candidate, job):
+                    return self._start_or_preempt(candidate, job)
         return None
 
-    def _list_candidates(self, job: QueuedJob) -> list[Slot]:
+    def _list_usable_slots(self, job: QueuedJob) -> list[CellSlot]:
         """Return slots with room, smallest first; of equal ones those in use first.
 
         Of equal idle slots only one is returned, as any would do.
         """
         wanted = job.spec.members * job.spec.accelerators
-        missing = {n.slot for n in self.board.packing.missing}
+        missing = {n.slot for n in self.plan.packing.missing}
         seen: set[int] = set()
         found = []
         ordered = sorted(
-            self.board.slots,
-            key=lambda s: (s.accelerators, s not in self.board.bound, s.name),
+            self.plan.slots,
+            key=lambda s: (s.accelerators, s not in self.plan.bound, s.name),
         )
         for slot in ordered:
             if slot.organisation != job.organisation or slot.accelerators < wanted:
                 continue
-            if slot not in self.board.bound:
+            if slot not in self.plan.bound:
                 if slot.accelerators in seen or slot in missing:
                     continue
                 seen.add(slot.accelerators)
             found.append(slot)
         return found
 
-    def _allows(self, bench: Bench, job: QueuedJob) -> bool:
+    def _is_allowed(self, worker_plan: WorkerPlan, job: QueuedJob) -> bool:
         return (
-            bench.view.name not in job.avoid
-            and job.workers.match(bench.view.labels)
-            and bench.allow_share(job.spec)
+            worker_plan.view.name not in job.avoid
+            and job.workers.match(worker_plan.view.labels)
+            and worker_plan.is_within_share(job.spec)
         )
 
-    def _list_sites(self, job: QueuedJob, slot: Slot) -> Iterable[Site]:
+    def _list_candidates(self, job: QueuedJob, slot: CellSlot) -> Iterable[Candidate]:
         """Return the places for the job in the slot, the cheapest first."""
-        if slot.whole:
-            return self._list_whole_sites(job, slot)
-        return self._list_part_sites(job, slot)
-
-    def _list_part_sites(self, job: QueuedJob, slot: Slot) -> Iterable[Site]:
-        spec, board = job.spec, self.board
-        bound = board.bound.get(slot)
+        if slot.whole_workers:
+            return self._list_whole_worker_candidates(job, slot)
+        return self._list_part_worker_candidates(job, slot)
+
+    def _list_part_worker_candidates(
+        self, job: QueuedJob, slot: CellSlot
+    ) -> Iterable[Candidate]:
+        spec, plan = job.spec, self.plan
+        bound = plan.bound.get(slot)
         if bound is not None:
             left = slot.accelerators - sum(bound.used.values())
             names = list(bound.used) if left >= spec.members * spec.accelerators else []
         else:
-            names = [n for n, c in board.capacity.items() if c >= slot.accelerators]
-        allowed = (n for n in names if n in board.bays)
+            names = [n for n, c in plan.capacity.items() if c >= slot.accelerators]
+        allowed = (n for n in names if n in plan.bins)
         ordered = sorted(
-            (n for n in allowed if self._allows(board.benches[n], job)),
+            (n for n in allowed if self._is_allowed(plan.worker_plans[n], job)),
             key=lambda n: (
-                self._count_part_loss(n, job),
-                self._rank_equal(n, job),
-                board.capacity[n],
-                len(board.benches[n].room.free),
+                self._count_victims_loss(n, job),
+                self._rank_tied(n, job),
+                plan.capacity[n],
+                len(plan.worker_plans[n].room.free),
                 n,
             ),
         )
-        return (Site(slot, ((n, spec.members),)) for n in ordered)
+        return (Candidate(slot, ((n, spec.members),)) for n in ordered)
 
-    def _rank_equal(self, worker: str, job: QueuedJob) -> tuple[bool, bool]:
+    def _rank_tied(self, worker: str, job: QueuedJob) -> tuple[bool, bool]:
         """Rank workers on which the same work would be lost.
 
         First those that are being vacated for this very job: were the choice
@@ -170,125 +180,137 @@
         place to the next and start late. Last those kept for a waiting large
         gang, which owners' small jobs would else put off for ever.
         """
-        holds = self.board.benches[worker].holds
+        holds = self.plan.worker_plans[worker].holds
         coming = any(g.preempted_for == job.spec.id for g, _ in holds)
         return not coming, worker in self._reserved and not self._is_large(job)
 
-    def _list_whole_sites(self, job: QueuedJob, slot: Slot) -> Iterable[Site]:
+    def _list_whole_worker_candidates(
+        self, job: QueuedJob, slot: CellSlot
+    ) -> Iterable[Candidate]:
         if job.spec.adjacency == "worker":
-            yield from self._list_single_sites(job, slot)
+            yield from self._list_single_worker_candidates(job, slot)
             return
-        sites = [
-            (cost, site)
-            for rack in sorted({b.rack for b in self.board.bays.values()})
-            for cost, site in self._plan_rack(job, slot, rack)
+        candidates = [
+            (cost, candidate)
+            for rack in sorted({b.rack for b in self.plan.bins.values()})
+            for cost, candidate in self._plan_rack(job, slot, rack)
         ]
-        yield from (site for _, site in sorted(sites, key=lambda s: s[0]))
+        yield from (
+            candidate for _, candidate in sorted(candidates, key=lambda s: s[0])
+        )
 
-    def _list_single_sites(self, job: QueuedJob, slot: Slot) -> Iterable[Site]:
+    def _list_single_worker_candidates(
+        self, job: QueuedJob, slot: CellSlot
+    ) -> Iterable[Candidate]:
         names = [
             n
-            for rack in sorted({b.rack for b in self.board.bays.values()})
-            for n, count in self._list_room(job, slot, rack)
+            for rack in sorted({b.rack for b in self.plan.bins.values()})
+            for n, count in self._list_member_capacity(job, slot, rack)
             if count >= job.spec.members
         ]
         names.sort(
-            key=lambda n: (self._count_part_loss(n, job), self._rank_equal(n, job), n)
+            key=lambda n: (
+                self._count_victims_loss(n, job),
+                self._rank_tied(n, job),
+                n,
+            )
         )
-        return (Site(slot, ((n, job.spec.members),)) for n in names)
+        return (Candidate(slot, ((n, job.spec.members),)) for n in names)
 
-    def _list_room(
-        self, job: QueuedJob, slot: Slot, rack: str
+    def _list_member_capacity(
+        self, job: QueuedJob, slot: CellSlot, rack: str
     ) -> list[tuple[str, int]]:
         """Return the workers of a rack that the slot has or may take."""
-        board, bound = self.board, self.board.bound.get(slot)
+        plan, bound = self.plan, self.plan.bound.get(slot)
         if bound is not None and bound.rack != rack:
             return []
         used = bound.used if bound is not None else {}
-        more = slot.accelerators - (board.count_covered(bound) if bound else 0)
-        rooms = []
-        for name, bay in board.bays.items():
-            if bay.rack != rack or not self._allows(board.benches[name], job):
+        more = slot.accelerators - (plan.count_covered(bound) if bound else 0)
+        capacities = []
+        for name, worker in plan.bins.items():
+            if worker.rack != rack or not self._is_allowed(
+                plan.worker_plans[name], job
+            ):
                 continue
             if name in used:
-                left = bay.accelerators - used[name]
-            elif more > 0 and board.capacity[name] == bay.accelerators:
-                left = bay.accelerators
+                left = worker.accelerators - used[name]
+            elif more > 0 and plan.capacity[name] == worker.accelerators:
+                left = worker.accelerators
             else:
                 continue
-            rooms.append((name, left // job.spec.accelerators))
-        return [(n, c) for n, c in rooms if c > 0]
+            capacities.append((name, left // job.spec.accelerators))
+        return [(n, c) for n, c in capacities if c > 0]
 
     def _plan_rack(
-        self, job: QueuedJob, slot: Slot, rack: str
-    ) -> Iterable[tuple[float, Site]]:
+        self, job: QueuedJob, slot: CellSlot, rack: str
+    ) -> Iterable[tuple[float, Candidate]]:
         """Choose workers of one rack, each next one the cheapest by then."""
-        bound = self.board.bound.get(slot)
+        bound = self.plan.bound.get(slot)
         used = bound.used if bound is not None else {}
         left = job.spec.members
         new_left = slot.accelerators - (
-            self.board.count_covered(bound) if bound is not None else 0
+            self.plan.count_covered(bound) if bound is not None else 0
         )
-        rooms = dict(self._list_room(job, slot, rack))
+        capacities = dict(self._list_member_capacity(job, slot, rack))
         chosen: list[tuple[str, int]] = []
         lost: set[str] = set()
         cost = 0.0
         while left > 0:
-            options = [n for n in rooms if n in used or new_left > 0]
+            options = [n for n in capacities if n in used or new_left > 0]
             if not options:
                 return
             best = min(
                 options,
                 key=lambda n: (
-                    self._count_new_loss(n, lost),
-                    self._rank_equal(n, job),
+                    self._count_added_loss(n, lost),
+                    self._rank_tied(n, job),
                     n not in used,
-                    rooms[n] if rooms[n] >= left else -rooms[n],
+                    capacities[n] if capacities[n] >= left else -capacities[n],
                     n,
                 ),
             )
-            cost += self._count_new_loss(best, lost)
-            lost |= {g.spec.id for g, _ in self.board.benches[best].holds}
-            count = min(left, rooms.pop(best))
+            cost += self._count_added_loss(best, lost)
+            lost |= {g.spec.id for g, _ in self.plan.worker_plans[best].holds}
+            count = min(left, capacities.pop(best))
             if best not in used:
-                new_left -= self.board.bays[best].accelerators
+                new_left -= self.plan.bins[best].accelerators
             chosen.append((best, count))
             left -= count
-        yield cost, Site(slot, tuple(sorted(chosen)))
+        yield cost, Candidate(slot, tuple(sorted(chosen)))
 
-    def _try_bind(self, site: Site, job: QueuedJob) -> bool:
+    def _try_bind(self, candidate: Candidate, job: QueuedJob) -> bool:
         """Bind the slot there, unless another unused cell would lose its place."""
-        board, slot = self.board, site.slot
-        before = len(board.packing.missing)
-        saved, old = dict(board.capacity), board.bound.get(slot)
+        plan, slot = self.plan, candidate.slot
+        before = len(plan.packing.missing)
+        saved, old = dict(plan.capacity), plan.bound.get(slot)
         kept = None if old is None else (dict(old.used), list(old.gangs))
-        rack = board.bays[site.members[0][0]].rack
-        used = {n: count * job.spec.accelerators for n, count in site.members}
-        board.bind(slot, rack, used, None)
-        packing = board.pack(lambda _: 0.0)
+        rack = plan.bins[candidate.members[0][0]].rack
+        used = {n: count * job.spec.accelerators for n, count in candidate.members}
+        plan.bind(slot, rack, used, None)
+        packing = plan.pack(lambda _: 0.0)
         if len(packing.missing) <= before:
-            board.packing = packing
+            plan.packing = packing
             return True
-        board.capacity = saved
+        plan.capacity = saved
         if old is None or kept is None:
-            del board.bound[slot]
+            del plan.bound[slot]
         else:
             old.used, old.gangs = kept
         return False
 
-    def _occupy(self, site: Site, job: QueuedJob) -> list[Action]:
+    def _start_or_preempt(self, candidate: Candidate, job: QueuedJob) -> list[Action]:
         """Take the room if it is free, else evict those who hold it."""
-        benches = self.board.benches
+        worker_plans = self.plan.worker_plans
         ready = all(
-            benches[n].room.count_members(job.spec) >= count
-            for n, count in site.members
+            worker_plans[n].room.count_members(job.spec) >= count
+            for n, count in candidate.members
         )
         if ready:
-            members = self._take(site, job)
-            self.board.start(job, members)
-            self._guarded.add(job.spec.id)
-            return [Place(job.spec.id, members, site.slot.name)]
-        for name, count in site.members:
+            members = self._take(candidate, job)
+            self.plan.start(job, members)
+            self._guaranteed.add(job.spec.id)
+            return [Place(job.spec.id, members, candidate.slot.name)]
+        for name, count in candidate.members:
             for gang in self._choose_victims(name, job, count):
                 self.victims.setdefault(
                     gang.spec.id,
@@ -296,29 +318,29 @@
                         gang.spec.id, job.spec.id, f"reclaimed by {job.organisation}"
                     ),
                 )
-            self._hold_back(name, job, count)
+            self._withhold(name, job, count)
         return []
 
-    def _take(self, site: Site, job: QueuedJob) -> tuple[Member, ...]:
+    def _take(self, candidate: Candidate, job: QueuedJob) -> tuple[Member, ...]:
         workers = itertools.chain.from_iterable(
-            itertools.repeat(name, count) for name, count in site.members
+            itertools.repeat(name, count) for name, count in candidate.members
         )
         return tuple(
             Member(
                 f"{job.spec.id}.{number}",
                 name,
-                self.board.benches[name].room.take(job.spec),
+                self.plan.worker_plans[name].room.take(job.spec),
             )
             for number, name in enumerate(workers)
         )
 
-    def _hold_back(self, worker: str, job: QueuedJob, count: int) -> None:
+    def _withhold(self, worker: str, job: QueuedJob, count: int) -> None:
         # Room that comes free must not go to the next borrower in the queue:
         # the owner would evict again in every pass and never start.
-        room = self.board.benches[worker].room
+        free_capacity = self.plan.worker_plans[worker].room
         wanted = count * job.spec.accelerators
-        free = min(wanted, len(room.free))
-        del room.free[:free]
-        room.cpus -= count * job.spec.cpus
-        room.memory_mb -= count * job.spec.memory_mb
-        self._coming[worker] = self._coming.get(worker, 0) + wanted - free
+        free = min(wanted, len(free_capacity.free))
+        del free_capacity.free[:free]
+        free_capacity.cpus -= count * job.spec.cpus
+        free_capacity.memory_mb -= count * job.spec.memory_mb
+        self._promised[worker] = self._promised.get(worker, 0) + wanted - free
--- a/src/firladder/_internal/policies/reclaiming.py
+++ b/src/firladder/_internal/policies/reclaim_policies.py
@@ -3,60 +3,60 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from .backfill import Chooser
-from .cell_packing import Slot
-from .cells import Board
+from .cell_packing import CellSlot
+from .cells import PlacementPlan
 from .placement import Action, Preempt, QueuedJob, RunningJob
-from .reclaim import Reclaimer, Site
+from .reclaim import Candidate, Reclaimer
 from .registry import Registry
 
 Reclaim = Callable[
-    [Board, Sequence[QueuedJob], frozenset[str], Chooser],
+    [PlacementPlan, Sequence[QueuedJob], frozenset[str], Chooser],
     tuple[list[Action], set[str]],
 ]
 
 RECLAIMS: Registry[Reclaim] = Registry("reclaim policy")
 
 
-class YoungestFirst(Reclaimer):
+class YoungestFirstReclaimer(Reclaimer):
     """The baseline: evict the youngest borrowers, one by one, until a place is vacant.
 
     It looks at nothing but the time of start, so that gangs go which stand
     nowhere near the place that the owner gets.
     """
 
-    def _list_sites(self, job: QueuedJob, slot: Slot) -> Iterable[Site]:
+    def _list_candidates(self, job: QueuedJob, slot: CellSlot) -> Iterable[Candidate]:
         lent = sorted(
             (
                 g
-                for g in self.board.view.running
-                if self.is_lent(g) and not self.is_leaving(g)
+                for g in self.plan.view.running
+                if self.is_borrower(g) and not self.is_stopping(g)
             ),
             key=lambda g: -g.started_at,
         )
         ages = {g.spec.id: rank for rank, g in enumerate(lent)}
 
-        def find_last(site: Site) -> int:
+        def find_oldest_victim(candidate: Candidate) -> int:
             victims = (
                 g
-                for name, count in site.members
+                for name, count in candidate.members
                 for g in self._choose_victims(name, job, count)
             )
             return max((ages[g.spec.id] for g in victims), default=-1)
 
-        return sorted(super()._list_sites(job, slot), key=find_last)
+        return sorted(super()._list_candidates(job, slot), key=find_oldest_victim)
 
     def _rank_victim(self, gang: RunningJob, held: int) -> tuple[float, str]:
         return -gang.started_at, gang.spec.id
 
-    def _occupy(self, site: Site, job: QueuedJob) -> list[Action]:
+    def _start_or_preempt(self, candidate: Candidate, job: QueuedJob) -> list[Action]:
         before = set(self.victims)
-        actions = super()._occupy(site, job)
+        actions = super()._start_or_preempt(candidate, job)
         new = set(self.victims) - before
-        running = self.board.view.running
+        running = self.plan.view.running
         oldest = min((g.started_at for g in running if g.spec.id in new), default=None)
         for gang in running if oldest is not None else ():
             younger = gang.started_at >= (oldest or 0.0) and gang.members
-            if younger and self.is_lent(gang) and not self.is_leaving(gang):
+            if younger and self.is_borrower(gang) and not self.is_stopping(gang):
                 self.victims[gang.spec.id] = Preempt(
                     gang.spec.id, job.spec.id, "youngest first"
                 )
@@ -65,24 +65,24 @@
 
 @RECLAIMS.register("least_lost")
 def reclaim_least_lost(
-    board: Board,
+    plan: PlacementPlan,
     queue: Sequence[QueuedJob],
     reserved: frozenset[str],
     choose: Chooser,
 ) -> tuple[list[Action], set[str]]:
     """Start owners' jobs in their cells, evicting where the least work is lost."""
-    return _reclaim(Reclaimer(board, queue, reserved, choose), queue)
+    return _reclaim(Reclaimer(plan, queue, reserved, choose), queue)
 
 
 @RECLAIMS.register("youngest_first")
 def reclaim_youngest_first(
-    board: Board,
+    plan: PlacementPlan,
     queue: Sequence[QueuedJob],
     reserved: frozenset[str],
     choose: Chooser,
 ) -> tuple[list[Action], set[str]]:
     """Start owners' jobs in their cells, evicting the youngest borrowers first."""
-    return _reclaim(YoungestFirst(board, queue, reserved, choose), queue)
+    return _reclaim(YoungestFirstReclaimer(plan, queue, reserved, choose), queue)
 
 
 def _reclaim(
--- a/src/firladder/_internal/policies/routing.py
+++ b/src/firladder/_internal/policies/routing.py
@@ -15,7 +15,7 @@
 INITIAL_LATENCY_S = 0.02
 LATENCY_WEIGHT = 0.2
 
-FAILURES_TO_LEAVE = 3
+FAILURES_TO_PAUSE = 3
 """Failures in a row after which a target is left alone for a while."""
 
 SLOW_FACTOR = 3.0
@@ -23,11 +23,11 @@
 it, fewer requests at a time are remedy enough; run times of one service differ
 by a factor of two anyway."""
 
-SAMPLES_TO_JUDGE = 3
+MIN_SAMPLES_TO_JUDGE = 3
 """Answers of a target before it can be called slow."""
 
-FIRST_PAUSE_S = 0.5
-LONGEST_PAUSE_S = 15.0
+INITIAL_PAUSE_S = 0.5
+MAX_PAUSE_S = 15.0
 """Bounds of the pause before a single probing request goes to a target that
 failed or is slow; doubled with every further one, so that a bad target costs
 callers next to nothing and a healthy one is back within seconds."""
@@ -68,7 +68,7 @@
             self.latency_s += LATENCY_WEIGHT * (latency_s - self.latency_s)
         self.samples += 1
         slow = self.latency_s > SLOW_FACTOR * typical_s
-        if slow and self.samples >= SAMPLES_TO_JUDGE:
+        if slow and self.samples >= MIN_SAMPLES_TO_JUDGE:
             self._pause(now)
         else:
             self.pauses = 0
@@ -77,14 +77,14 @@
     def record_failure(self, now: float) -> None:
         """Learn from a failure, and leave a target that only fails."""
         self.failures += 1
-        if self.failures >= FAILURES_TO_LEAVE:
+        if self.failures >= FAILURES_TO_PAUSE:
             self._pause(now)
 
     def _pause(self, now: float) -> None:
         if now < self.retry_at:
             return  # one pause for all that were in flight together
-        pause_s = FIRST_PAUSE_S * 2 ** min(self.pauses, 10)
-        self.retry_at = now + min(LONGEST_PAUSE_S, pause_s)
+        pause_s = INITIAL_PAUSE_S * 2 ** min(self.pauses, 10)
+        self.retry_at = now + min(MAX_PAUSE_S, pause_s)
         self.pauses += 1
 
     def find_oldest_age(self, now: float) -> float:
@@ -104,8 +104,8 @@
     targets: Sequence[TargetView], now: float, rng: random.Random
 ) -> str | None:
     """Return any target that has room: the baseline."""
-    with_room = [t for t in targets if t.has_room]
-    return rng.choice(with_room).name if with_room else None
+    available = [t for t in targets if t.has_room]
+    return rng.choice(available).name if available else None
 
 
 @ROUTINGS.register("two_choices")
--- a/src/firladder/_internal/policies/sharing.py
+++ b/src/firladder/_internal/policies/sharing.py
@@ -12,11 +12,11 @@
 
 SHARINGS: Registry[SharingPolicy] = Registry("sharing policy")
 
-RESERVED_PART = 4
+RESERVED_SLOT_INTERVAL = 4
 """One slot in so many is kept for gateways without demand, spread over the
 targets: a burst at an idle gateway starts at once, not a heartbeat later."""
 
-LEAST_PART = 0.5
+MIN_SHARED_DEMAND_PER_SLOT = 0.5
 """Requests for each slot of a target that are shared out equally at least."""
 
 
@@ -45,18 +45,23 @@
     busy = {g: float(d) for g, d in known.items() if d > 0}
     if not busy:
         return share_equally(targets, known, me)
-    reserved = {t: min(len(idle), n // RESERVED_PART) for t, n in targets.items()}
+    reserved = {
+        t: min(len(idle), n // RESERVED_SLOT_INTERVAL) for t, n in targets.items()
+    }
     if me not in busy:
-        return {t: int(me in _choose_keepers(t, idle, n)) for t, n in reserved.items()}
+        return {
+            t: int(me in _choose_reserve_holders(t, idle, n))
+            for t, n in reserved.items()
+        }
     # An equal part on top of the demand: demand is told with a delay, and a
     # gateway just below its usual load would wait beside idle slots.
     slots = max(targets.values(), default=0)
-    spare = max(slots * LEAST_PART, sum(busy.values())) / len(busy)
+    spare = max(slots * MIN_SHARED_DEMAND_PER_SLOT, sum(busy.values())) / len(busy)
     rest = {t: n - reserved[t] for t, n in targets.items()}
     return _split(rest, {g: w + spare for g, w in busy.items()}, me)
 
 
-def _choose_keepers(target: str, idle: Iterable[str], count: int) -> list[str]:
+def _choose_reserve_holders(target: str, idle: Iterable[str], count: int) -> list[str]:
     return sorted(idle, key=lambda g: _hash(target, g))[:count]
 
 
@@ -75,10 +80,10 @@
     }
 
 
-def _round(mark: float, target: str) -> int:
+def _round(boundary: float, target: str) -> int:
     # The marks of neighbours are the same number worked out in two ways; the
     # last digits must not decide.
-    return int(round(mark, 6) + _hash(target, "") / 2**64)
+    return int(round(boundary, 6) + _hash(target, "") / 2**64)
 
 
 @functools.lru_cache(maxsize=65536)
