--- a/src/firladder/_internal/policies/__init__.py
+++ b/src/firladder/_internal/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: no input, output, clock or randomness of their own."""
+"""Decisions as pure functions: no I/O, clock or random source of their own."""
--- a/src/firladder/_internal/policies/admission.py
+++ b/src/firladder/_internal/policies/admission.py
@@ -1,4 +1,4 @@
-"""Admit a request to the queue, or refuse it at once with a time to come back."""
+"""Admit a request to the queue, or refuse it at once with a time to retry."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -17,26 +17,26 @@
     "normal": 0.9,
     "overnight": 0.8,
 }
-"""Part of the queue that each urgency may fill: a night's backlog must leave
-places for somebody who is waiting beside a customer."""
+"""Fraction of the queue that each urgency may fill: a backlog of overnight work
+must leave places for interactive requests."""
 
 CONTENTION_FRACTION = 0.5
-"""Part of the queue above which organisations are held to their weights. Below
-it, an organisation alone may use what nobody else asks for."""
+"""Fraction of the queue above which each organisation is limited to its weighted
+share. Below it, an organisation may use capacity that no other one requests."""
 
 WAIT_SAFETY_FACTOR = 1.1
-"""The wait is taken this much longer than computed: run times vary, and work
-admitted too late costs a slot and then misses its deadline."""
+"""Factor on the estimated wait: run times vary, and a request that is admitted too
+late uses a slot and then misses its deadline."""
 
 MAX_RETRY_AFTER_S = 60.0
-"""A caller told to come back later than this would rather be served elsewhere."""
+"""Upper bound of the time to retry; after longer a caller had better go elsewhere."""
 
 
 @ADMISSIONS.register("always")
 def admit_always(
     view: ServiceView, req: WaitingRequest, rng: random.Random
 ) -> Failure | None:
-    """Admit whatever comes: the baseline."""
+    """Admit every request (baseline)."""
     return None
 
 
@@ -44,12 +44,12 @@
 def admit_by_deadline(
     view: ServiceView, req: WaitingRequest, rng: random.Random
 ) -> Failure | None:
-    """Refuse at once what would only wait in vain, and hold shares.
+    """Refuse requests that would miss their deadline or exceed a queue share.
 
-    Made for load above capacity and for one organisation that floods the
-    others. Without it the queue fills with requests whose callers have gone:
-    every answer comes late, slots run work that nobody waits for, and goodput
-    falls as load rises.
+    This handles load above capacity and one organisation that floods the others.
+    Without it the queue fills with requests whose callers have given up: every
+    answer is late, slots run work that nobody waits for, and goodput falls as load
+    rises.
     """
     wait_s = estimate_wait(view, req)
     refused_work_s = view.refused_s / max(1, view.room)
@@ -65,8 +65,8 @@
             reason=reason, retry_after_s=spread_retry_after(refused_work_s, wait_s, rng)
         )
     if not total and not view.in_flight:
-        # One request at a time goes through even if it looks too late: after
-        # a slow spell nobody would ever learn that the targets have recovered.
+        # One request at a time is admitted even if it looks too late: after all
+        # targets were slow, only an answer shows that they have recovered.
         return None
     if view.now + wait_s * WAIT_SAFETY_FACTOR + view.latency_s > req.deadline:
         return DeadlineUnreachable(
@@ -78,10 +78,10 @@
 
 
 def estimate_wait(view: ServiceView, req: WaitingRequest) -> float:
-    """Return the seconds a request would wait for a slot.
+    """Return the estimated seconds that a request waits for a slot.
 
-    Only what goes before it counts: work at least as urgent, and of that no
-    more than what fair turns between organisations let pass.
+    Counts only the requests that are served before it: those at least as urgent,
+    and of these no more than fair queueing between organisations puts ahead.
     """
     ahead = sum(
         count
@@ -98,12 +98,12 @@
 def spread_retry_after(
     refused_work_s: float, wait_s: float, rng: random.Random
 ) -> float:
-    """Return when a refused caller shall come back, in seconds.
+    """Return after how many seconds a refused caller should retry.
 
-    Made for a crowd refused together: sent back to the same moment it would
-    be refused together again. ``refused_work_s`` is how long all targets would work
-    on what was refused lately; the span grows with it, so that those who
-    return fit into the capacity there is.
+    Callers refused together must not retry at the same moment, or they would be
+    refused together again. ``refused_work_s`` is how long all targets would need for
+    the work refused recently; the range grows with it, so that the retries fit into
+    the capacity.
     """
     delay_s = (
         0.1 + wait_s * rng.uniform(0.5, 1.0) + rng.uniform(0, 1.0 + 2 * refused_work_s)
--- a/src/firladder/_internal/policies/cells.py
+++ b/src/firladder/_internal/policies/cells.py
@@ -44,7 +44,7 @@
     holds: list[tuple[RunningJob, int]]
 
     def is_within_share(self, spec: JobSpec) -> bool:
-        """Tell whether a member takes no more than its accelerators' share.
+        """Return whether a member takes no more than its accelerators' share.
 
         A guarantee is of accelerators with their part of processors and memory.
         A member that takes more could keep a neighbouring cell from starting,
--- a/src/firladder/_internal/policies/configuration_changes.py
+++ b/src/firladder/_internal/policies/configuration_changes.py
@@ -167,7 +167,7 @@
 def _promises_more(
     base: Configuration, fresh: Configuration, organisation: str, domain: str
 ) -> bool:
-    """Tell whether some cell is new or larger than the one in its place before."""
+    """Return whether some cell is new or larger than the one in its place before."""
     before, after = (_list_sizes(c, organisation, domain) for c in (base, fresh))
     pairs = itertools.zip_longest(before, after, fillvalue=0)
     return any(new > old for old, new in pairs)
--- a/src/firladder/_internal/policies/dispatching.py
+++ b/src/firladder/_internal/policies/dispatching.py
@@ -1,6 +1,6 @@
-"""Combine admission, order and routing for the requests of one service.
+"""Combine admission, queueing and routing for the requests of one service.
 
-Pure: the gateway and the driver of the load tests run the same code.
+Pure code, which the gateway and the driver of the load tests share.
 """
 
 import dataclasses
@@ -17,12 +17,13 @@
 from .sharing import SHARINGS, SharingPolicy
 
 REFUSED_DECAY_S = 10.0
-"""Time constant over which refused work is expected to come back."""
+"""Time constant of the decay of the count of refused requests, which are expected
+to be retried."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DispatchPolicies:
-    """The policies a gateway decides with."""
+    """The policies that a gateway uses."""
 
     admit: AdmissionPolicy
     make_queue: Callable[[], RequestQueue]
@@ -45,15 +46,15 @@
 
 
 class ServiceQueues:
-    """What waits for one service: a queue for each selector over its targets.
+    """The waiting requests of one service, in one queue per target selector.
 
-    Requests that may go to the same targets share a queue. When its targets
-    have no room, that queue is passed over as a whole, so that a pass costs
-    what it sends and not what waits.
+    Requests that may go to the same targets share a queue. A queue whose targets
+    have no free slots is skipped as a whole, so that the cost of a pass depends on
+    the requests sent and not on those waiting.
     """
 
     def __init__(self, policies: DispatchPolicies, *, queue_limit: int) -> None:
-        """Start empty; at most ``queue_limit`` requests wait."""
+        """Create empty queues that hold at most ``queue_limit`` requests in all."""
         self._policies = policies
         self._queue_limit = queue_limit
         self._queues: dict[Selector, RequestQueue] = {}
@@ -99,10 +100,10 @@
     def refuse_late(
         self, now: float, *, expected_s: float, rng: random.Random
     ) -> DeadlineUnreachable:
-        """Return the refusal of an admitted request that can't be in time now.
+        """Return the failure of an admitted request that can't meet its deadline.
 
-        A slot spent on it would be lost to work that still can; its caller
-        hears at once, and comes back apart from the others.
+        Its slot is better used for a request that can. The caller is told at once,
+        with a randomised time to retry.
         """
         self._record_refused(now)
         refused_work_s = self._decay_refused(now) * expected_s / max(1, self._room)
@@ -120,7 +121,7 @@
         return self._refused * math.exp((self._refused_at - now) / REFUSED_DECAY_S)
 
     def push(self, req: WaitingRequest, selector: Selector) -> None:
-        """Let an admitted request wait."""
+        """Add an admitted request to its queue."""
         queue = self._queues.get(selector)
         if queue is None:
             queue = self._queues[selector] = self._policies.make_queue()
@@ -128,7 +129,7 @@
         self._counts.add(req)
 
     def remove(self, req: WaitingRequest, selector: Selector) -> bool:
-        """Take a request out; tell whether it was there."""
+        """Remove a request and return whether it was queued."""
         queue = self._queues.get(selector)
         if queue is None or not queue.remove(req.id):
             return False
@@ -137,8 +138,8 @@
 
     def _count_removed(self, req: WaitingRequest, selector: Selector) -> None:
         self._counts.subtract(req)
-        # Selectors come and go with the operators' rules. The default one
-        # stays, with the turns between organisations that it remembers.
+        # Selectors come and go with the operators' rules. The queue of the default
+        # selector stays, with its virtual times of the organisations.
         if selector.terms and not self._queues[selector]:
             del self._queues[selector]
 
@@ -148,7 +149,7 @@
         now: float,
         rng: random.Random,
     ) -> list[tuple[WaitingRequest, str]]:
-        """Take out what can be sent now, each with its target."""
+        """Remove and return the requests that can be sent now, with their targets."""
         sends: list[tuple[WaitingRequest, str]] = []
         waiting = [s for s, q in self._queues.items() if q]
         if not waiting:
@@ -169,7 +170,9 @@
             sends.append((req, target))
             drained = not self._queues[selector]
             self._count_removed(req, selector)
-            del unblocked[selector]  # to the end, so that equal queues take turns
+            del unblocked[
+                selector
+            ]  # moved to the end, so that queues of equal rank take turns
             if not drained:
                 unblocked[selector] = None
         return sends
--- a/src/firladder/_internal/policies/domain_selection.py
+++ b/src/firladder/_internal/policies/domain_selection.py
@@ -26,7 +26,7 @@
 
 
 def can_ever_fit(spec: JobSpec, workers: Iterable[Machine]) -> bool:
-    """Tell whether the gang would fit into an empty failure domain."""
+    """Return whether the gang would fit into an empty failure domain."""
     groups: dict[str, list[Machine]] = {}
     for worker in workers:
         key = {"worker": worker.name, "rack": worker.rack, "domain": ""}
--- a/src/firladder/_internal/policies/membership.py
+++ b/src/firladder/_internal/policies/membership.py
@@ -61,7 +61,7 @@
     peers: tuple[PeerView, ...]
 
     def shares_targets_with(self, peer: PeerView) -> bool:
-        """Tell whether this process shares targets with the peer."""
+        """Return whether this process shares targets with the peer."""
         near = peer.failure_domain == self.failure_domain
         return near and self.role == peer.role == "gateway"
 
--- a/src/firladder/_internal/policies/placement_policies.py
+++ b/src/firladder/_internal/policies/placement_policies.py
@@ -157,7 +157,7 @@
 
 
 def is_large(job: QueuedJob, worker_size: int) -> bool:
-    """Tell whether a gang needs whole workers, or most of several."""
+    """Return whether a gang needs whole workers, or most of several."""
     each = job.spec.accelerators
     several = (
         job.spec.members * each > worker_size
@@ -167,7 +167,7 @@
 
 
 def is_overdue(view: DomainView, job: QueuedJob) -> bool:
-    """Tell whether a large gang has waited so long that others make way for it."""
+    """Return whether a large gang has waited so long that others make way for it."""
     worker_size = max((w.accelerators for w in view.workers), default=0)
     waited_s = view.now - job.submitted_at
     return waited_s > PROTECT_AFTER_S and is_large(job, worker_size)
--- a/src/firladder/_internal/policies/preemption.py
+++ b/src/firladder/_internal/policies/preemption.py
@@ -25,11 +25,11 @@
         }
 
     def is_borrower(self, gang: RunningJob) -> bool:
-        """Tell whether a gang may be evicted for an owner."""
+        """Return whether a gang may be evicted for an owner."""
         return gang.spec.id not in self._guaranteed
 
     def is_stopping(self, gang: RunningJob) -> bool:
-        """Tell whether a gang is on its way out already."""
+        """Return whether a gang is on its way out already."""
         return gang.stopping or gang.spec.id in self.victims
 
     def cost(self, worker: str) -> float:
--- a/src/firladder/_internal/policies/quarantine.py
+++ b/src/firladder/_internal/policies/quarantine.py
@@ -35,11 +35,11 @@
 
     @property
     def quarantined(self) -> bool:
-        """Tell whether the worker is in quarantine, a probe included."""
+        """Return whether the worker is in quarantine, a probe included."""
         return self.quarantined_until is not None
 
     def record_failure(self, job: str, now: float) -> bool:
-        """Count a failed job; tell whether the worker goes into quarantine now."""
+        """Count a failed job; return whether the worker goes into quarantine now."""
         self.failed_jobs.add(job)
         if self.quarantined_until is not None:
             if now >= self.quarantined_until:
@@ -68,12 +68,12 @@
             self.quarantined_until = None
 
     def accepts_work(self, now: float, *, busy: bool) -> bool:
-        """Tell whether new work may go there; a probe runs alone."""
+        """Return whether new work may go there; a probe runs alone."""
         return self.quarantined_until is None or (
             now >= self.quarantined_until and not busy
         )
 
 
 def is_at_fault(failed_on: Iterable[str], quarantined: Iterable[str]) -> bool:
-    """Tell whether a job failed on so many healthy workers that it is to blame."""
+    """Return whether a job failed on so many healthy workers that it is to blame."""
     return len(set(failed_on) - set(quarantined)) >= FAILED_WORKERS_TO_BLAME_JOB
--- a/src/firladder/_internal/policies/queueing.py
+++ b/src/firladder/_internal/policies/queueing.py
@@ -1,4 +1,4 @@
-"""Order the requests that wait in a gateway for a slot of a target."""
+"""Order the requests that wait in a gateway for a free slot of a target."""
 
 import itertools
 from collections import Counter, OrderedDict
@@ -10,11 +10,11 @@
 from .request_views import URGENCY_RANK, WaitingRequest
 
 AGEING_S: Mapping[Urgency, float] = {"urgent": 0.0, "normal": 2.0, "overnight": 10.0}
-"""Seconds of waiting after which a request may go before more urgent ones."""
+"""Wait after which a request is aged and may be served before more urgent ones."""
 
 AGED_INTERVAL = 8
-"""One place in so many goes to an aged request: urgent work then loses at most
-an eighth of the slots, and no request waits for ever behind it."""
+"""Every so many requests, an aged one is served first: urgent work loses at most an
+eighth of the slots, and no request starves behind it."""
 
 
 class RequestQueue(Protocol):
@@ -24,13 +24,13 @@
         """Add a request."""
 
     def pop(self, now: float) -> WaitingRequest | None:
-        """Take the next request out."""
+        """Remove and return the next request, or None if empty."""
 
     def peek_rank(self, now: float) -> int | None:
         """Return the urgency rank of the next request, or None if empty."""
 
     def remove(self, request_id: str) -> bool:
-        """Take a request out; tell whether it was there."""
+        """Remove a request and return whether it was queued."""
 
     def __len__(self) -> int: ...
 
@@ -42,7 +42,7 @@
 
 @QUEUES.register("fifo")
 class FifoQueue:
-    """First come, first served: the baseline."""
+    """First come, first served (baseline)."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -53,15 +53,15 @@
         self._requests[req.id] = req
 
     def pop(self, now: float) -> WaitingRequest | None:
-        """Take the oldest request out."""
+        """Remove and return the oldest request, or None if empty."""
         return self._requests.popitem(last=False)[1] if self._requests else None
 
     def peek_rank(self, now: float) -> int | None:
-        """Return one rank for all."""
+        """Return 0, or None if empty: all requests have the same rank."""
         return 0 if self._requests else None
 
     def remove(self, request_id: str) -> bool:
-        """Take a request out; tell whether it was there."""
+        """Remove a request and return whether it was queued."""
         return self._requests.pop(request_id, None) is not None
 
     def __len__(self) -> int:
@@ -72,11 +72,11 @@
 
 
 class _FairQueue:
-    """Requests of one urgency, by fair turns between organisations.
+    """Weighted fair queue between organisations, for the requests of one urgency.
 
-    Each organisation has a virtual time that advances by one over its weight
-    with every request taken; the lowest goes next. An organisation that was
-    away starts at the present virtual time: idleness saves nothing up.
+    Each organisation has a virtual time that advances by one over its weight with
+    every request served; the lowest is served next. An organisation that had no
+    requests starts at the current virtual time: being idle earns no credit.
     """
 
     def __init__(self) -> None:
@@ -125,8 +125,8 @@
         self.size -= 1
         if not self._queues[organisation]:
             del self._queues[organisation]
-            # Organisations come and go with the configuration; a stale time
-            # below the present one says nothing that must be kept.
+            # Organisations come and go with the configuration; a virtual time
+            # below the current one need not be kept.
             self._virtual_times = {
                 o: t
                 for o, t in self._virtual_times.items()
@@ -139,12 +139,12 @@
 
 @QUEUES.register("urgency")
 class UrgencyQueue:
-    """The most urgent first, fair between organisations, and aged work by turns.
+    """Strict priority by urgency, fair between organisations, with bounded ageing.
 
-    Made for saturation by batch work while somebody waits beside a customer.
-    Plain urgency would let a day of urgent work starve all else; plain ageing
-    would let a night's backlog, once old, pass before every urgent request.
-    So aged work goes first only every ``AGED_INTERVAL``-th time.
+    This handles saturation by batch work while interactive requests wait. Strict
+    priority alone would let a day of urgent work starve all else; ageing alone would
+    put an old overnight backlog before every urgent request. So an aged request is
+    served first only every ``AGED_INTERVAL``-th time.
     """
 
     def __init__(self) -> None:
@@ -157,7 +157,7 @@
         self._classes[req.urgency].push(req)
 
     def pop(self, now: float) -> WaitingRequest | None:
-        """Take the next request out."""
+        """Remove and return the next request, or None if empty."""
         nonempty = self._list_nonempty()
         if not nonempty:
             return None
@@ -175,7 +175,7 @@
         return URGENCY_RANK[nonempty[0]] if nonempty else None
 
     def remove(self, request_id: str) -> bool:
-        """Take a request out; tell whether it was there."""
+        """Remove a request and return whether it was queued."""
         return any(c.remove(request_id) for c in self._classes.values())
 
     def _list_nonempty(self) -> list[Urgency]:
@@ -192,7 +192,7 @@
 
 
 class QueueCounts:
-    """Running counts of what waits, so that admission reads no queue through."""
+    """Counts of the waiting requests, so that admission need not scan the queues."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -202,12 +202,12 @@
         self.weights: dict[str, int] = {}
 
     def add(self, req: WaitingRequest) -> None:
-        """Count a request in."""
+        """Count a queued request."""
         self._count(req, 1)
         self.weights[req.organisation] = req.weight
 
     def subtract(self, req: WaitingRequest) -> None:
-        """Count a request out."""
+        """Discount a request that left the queue."""
         self._count(req, -1)
         if self.by_organisation[req.organisation] <= 0:
             del self.by_organisation[req.organisation]
@@ -219,7 +219,7 @@
         self.by_organisation_and_urgency[req.organisation, req.urgency] += by
 
     def count_ahead_of_own(self, req: WaitingRequest) -> int:
-        """Return the queued requests of its organisation that go before it."""
+        """Return how many requests of the same organisation are served before it."""
         return sum(
             self.by_organisation_and_urgency[req.organisation, u]
             for u in URGENCIES
--- a/src/firladder/_internal/policies/reclaim.py
+++ b/src/firladder/_internal/policies/reclaim.py
@@ -90,11 +90,11 @@
         return [Place(job.spec.id, members)]
 
     def _awaits_whole_workers(self, slot: CellSlot) -> bool:
-        """Tell whether a large job of the owner waits for a cell of whole workers."""
+        """Return whether a large job of the owner waits for a cell of whole workers."""
         return slot.organisation in self._owners_awaiting_whole_workers
 
     def _is_suitable(self, slot: CellSlot, job: QueuedJob) -> bool:
-        """Tell whether a slot is meant for such a job.
+        """Return whether a slot is meant for such a job.
 
         A small job takes a cell of whole workers last, and not while a large job
         of its organisation waits: small ones would follow each other into the
--- a/src/firladder/_internal/policies/request_views.py
+++ b/src/firladder/_internal/policies/request_views.py
@@ -1,4 +1,4 @@
-"""Plain views of callers' requests and of targets, for the decisions on them."""
+"""Read-only views of requests, targets and services for the request policies."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -24,9 +24,9 @@
 class TargetView:
     """A target as this gateway sees it.
 
-    ``share`` is how many requests this gateway may have there at once;
-    ``latency_s`` is a moving average, ``oldest_s`` the age of the oldest
-    request in flight; ``failures`` counts the last in a row.
+    ``share`` is how many requests this gateway may have in flight there;
+    ``latency_s`` is a moving average, ``oldest_s`` the age of the oldest request in
+    flight; ``failures`` counts consecutive failures.
     """
 
     name: str
@@ -40,18 +40,18 @@
 
     @property
     def has_room(self) -> bool:
-        """Tell whether this gateway may send one more request there."""
+        """Return whether this gateway may send the target one more request."""
         return not self.leaving and self.in_flight < self.share
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceView:
-    """What admission may look at: the queue and the room of one service.
+    """The queue and the capacity of one service, as input of admission.
 
-    ``room`` is the sum of this gateway's shares and ``latency_s`` what one
-    request takes there; ``held`` counts the queued requests by organisation,
-    ``ahead`` those of the asking organisation that go first; ``refused_s``
-    says how many seconds of work were refused lately, and so may come back.
+    ``room`` is the sum of this gateway's shares of the targets, ``latency_s`` the time
+    that one request takes there. ``held`` counts the queued requests by organisation;
+    ``ahead_of_own`` those of the requesting organisation that are served first.
+    ``refused_s`` is the work refused recently, in seconds, which may be retried.
     """
 
     now: float
--- a/src/firladder/_internal/policies/routing.py
+++ b/src/firladder/_internal/policies/routing.py
@@ -1,4 +1,4 @@
-"""Choose the target of a request, and learn which targets are slow or failing."""
+"""Choose the target of a request, and detect slow and failing targets."""
 
 import dataclasses
 import random
@@ -16,26 +16,26 @@
 LATENCY_WEIGHT = 0.2
 
 FAILURES_TO_PAUSE = 3
-"""Failures in a row after which a target is left alone for a while."""
+"""Consecutive failures after which a target is paused."""
 
 SLOW_FACTOR = 3.0
-"""How many times the median latency a target may take before it is left. Under
-it, fewer requests at a time are remedy enough; run times of one service differ
-by a factor of two anyway."""
+"""Multiple of the median latency above which a target is paused. Below it, sending
+fewer requests at a time is enough; run times of one service differ by a factor of
+two anyway."""
 
 MIN_SAMPLES_TO_JUDGE = 3
-"""Answers of a target before it can be called slow."""
+"""Answers needed from a target before it can be classed as slow."""
 
 INITIAL_PAUSE_S = 0.5
 MAX_PAUSE_S = 15.0
-"""Bounds of the pause before a single probing request goes to a target that
-failed or is slow; doubled with every further one, so that a bad target costs
-callers next to nothing and a healthy one is back within seconds."""
+"""Bounds of the pause before a single probe is sent to a failed or slow target. The
+pause doubles each time, so that a bad target costs callers next to nothing and a
+healthy one is back within seconds."""
 
 
 @dataclasses.dataclass(slots=True)
 class TargetStats:
-    """What one gateway has learnt of one target. Times are monotonic seconds."""
+    """Latency and failures of a target, seen by one gateway; times are monotonic."""
 
     latency_s: float = INITIAL_LATENCY_S
     samples: int = 0
@@ -46,23 +46,23 @@
 
     @property
     def on_probe(self) -> bool:
-        """Tell whether only single probing requests may go there."""
+        """Return whether only single probes may be sent to the target."""
         return self.pauses > 0
 
     def record_sent(self, request_id: str, now: float) -> None:
-        """Count a request in."""
+        """Record a request as in flight."""
         self.sent_at[request_id] = now
 
     def record_end(self, request_id: str) -> None:
-        """Count a request out, however it ended."""
+        """Record that a request ended, with whatever outcome."""
         self.sent_at.pop(request_id, None)
 
     def record_success(self, latency_s: float, now: float, typical_s: float) -> None:
-        """Learn from an answer; ``typical_s`` is the median of all targets."""
+        """Record an answer; ``typical_s`` is the median latency of all targets."""
         self.failures = 0
         if self.samples == 0 or self.on_probe:
-            # A probe's latency counts whole: an average over old slow answers
-            # would keep a recovered target out.
+            # A probe replaces the average: old slow answers would keep a target
+            # that has recovered paused.
             self.latency_s = latency_s
         else:
             self.latency_s += LATENCY_WEIGHT * (latency_s - self.latency_s)
@@ -75,14 +75,14 @@
             self.retry_at = 0.0
 
     def record_failure(self, now: float) -> None:
-        """Learn from a failure, and leave a target that only fails."""
+        """Record a failure, and pause the target after several in a row."""
         self.failures += 1
         if self.failures >= FAILURES_TO_PAUSE:
             self._pause(now)
 
     def _pause(self, now: float) -> None:
         if now < self.retry_at:
-            return  # one pause for all that were in flight together
+            return  # one pause for all failures of requests in flight together
         pause_s = INITIAL_PAUSE_S * 2 ** min(self.pauses, 10)
         self.retry_at = now + min(MAX_PAUSE_S, pause_s)
         self.pauses += 1
@@ -103,7 +103,7 @@
 def route_randomly(
     targets: Sequence[TargetView], now: float, rng: random.Random
 ) -> str | None:
-    """Return any target that has room: the baseline."""
+    """Return a random target with a free slot (baseline)."""
     available = [t for t in targets if t.has_room]
     return rng.choice(available).name if available else None
 
@@ -112,13 +112,12 @@
 def route_two_choices(
     targets: Sequence[TargetView], now: float, rng: random.Random
 ) -> str | None:
-    """Return the better of two random targets that have room.
+    """Return the better of two random targets with a free slot.
 
-    Made for one slow or failing target among many. Always choosing the
-    best-looking one would send every gateway's burst to the same target at
-    once; two choices spread it almost as evenly as full knowledge would. A
-    request in flight for long counts at once, before any answer tells that
-    its target has become slow.
+    This handles one slow or failing target among many. Always choosing the best one
+    would send the bursts of all gateways to the same target; two random choices
+    spread them almost as evenly as full knowledge would. The age of the oldest
+    request in flight shows a slow target before any answer does.
     """
     open_targets = [t for t in targets if t.has_room and t.retry_at <= now]
     if not open_targets:
--- a/src/firladder/_internal/policies/selectors.py
+++ b/src/firladder/_internal/policies/selectors.py
@@ -33,7 +33,7 @@
     values: frozenset[str] = frozenset()
 
     def match(self, labels: Mapping[str, str]) -> bool:
-        """Tell whether the labels fulfil the condition."""
+        """Return whether the labels fulfil the condition."""
         found = labels.get(self.key)
         if self.operator == "exists":
             return found is not None
@@ -51,7 +51,7 @@
     terms: tuple[Term, ...] = ()
 
     def match(self, labels: Mapping[str, str]) -> bool:
-        """Tell whether the labels fulfil every condition."""
+        """Return whether the labels fulfil every condition."""
         return all(term.match(labels) for term in self.terms)
 
 
--- a/src/firladder/_internal/policies/sharing.py
+++ b/src/firladder/_internal/policies/sharing.py
@@ -1,4 +1,4 @@
-"""Share the slots of each target among gateways, without a central counter."""
+"""Divide the slots of each target among the gateways without central state."""
 
 import functools
 import hashlib
@@ -7,24 +7,25 @@
 from .registry import Registry
 
 SharingPolicy = Callable[[Mapping[str, int], Mapping[str, int], str], dict[str, int]]
-"""From the slots of each target, the demand of each gateway and one's own name
-to one's own share of each target."""
+"""Map the slots of each target, the demand of each gateway and a gateway's name to
+that gateway's share of each target."""
 
 SHARINGS: Registry[SharingPolicy] = Registry("sharing policy")
 
 RESERVED_SLOT_INTERVAL = 4
-"""One slot in so many is kept for gateways without demand, spread over the
-targets: a burst at an idle gateway starts at once, not a heartbeat later."""
+"""One slot in so many is reserved for idle gateways, spread over the targets: a burst
+at an idle gateway starts at once and not a heartbeat later."""
 
 MIN_SHARED_DEMAND_PER_SLOT = 0.5
-"""Requests for each slot of a target that are shared out equally at least."""
+"""Least demand, in requests per slot of a target, that is added in equal parts to
+the demand of the busy gateways."""
 
 
 @SHARINGS.register("equal")
 def share_equally(
     targets: Mapping[str, int], demands: Mapping[str, int], me: str
 ) -> dict[str, int]:
-    """Give every gateway the same: the baseline."""
+    """Give every gateway the same share (baseline)."""
     return _split(targets, dict.fromkeys({*demands, me}, 1.0), me)
 
 
@@ -32,13 +33,13 @@
 def share_by_demand(
     targets: Mapping[str, int], demands: Mapping[str, int], me: str
 ) -> dict[str, int]:
-    """Give slots by demand, and keep a few for gateways without any.
+    """Give slots by demand, and reserve a few for idle gateways.
 
-    Made for 7 to 9 gateways that share targets of 8 slots, where the balancer
-    sends each a different load. Fixed shares leave slots idle while requests
-    wait elsewhere. Every gateway works this out from the same heartbeats;
-    while they are on their way two gateways may count one slot twice, and the
-    target then queues a request for one run time: the harm that is accepted.
+    This is for 7 to 9 gateways that share targets of 8 slots, with a different load
+    on each. Fixed shares leave slots idle while requests wait elsewhere. Every
+    gateway computes the shares from the same heartbeats. Until these have reached
+    all, two gateways may use the same slot, and the target then queues a request for
+    one run time, which is accepted.
     """
     known = {me: 0, **demands}
     idle = [g for g, demand in known.items() if demand <= 0]
@@ -53,8 +54,8 @@
             t: int(me in _choose_reserve_holders(t, idle, n))
             for t, n in reserved.items()
         }
-    # An equal part on top of the demand: demand is told with a delay, and a
-    # gateway just below its usual load would wait beside idle slots.
+    # An equal part is added to each demand: demand is known with a delay, and a
+    # gateway just below its usual load would wait while slots are idle.
     slots = max(targets.values(), default=0)
     spare = max(slots * MIN_SHARED_DEMAND_PER_SLOT, sum(busy.values())) / len(busy)
     rest = {t: n - reserved[t] for t, n in targets.items()}
@@ -68,9 +69,9 @@
 def _split(
     targets: Mapping[str, int], weights: Mapping[str, float], me: str
 ) -> dict[str, int]:
-    # Rounding down on every target alike would leave a small gateway without a
-    # slot anywhere. The rounding point is different on each target, so that
-    # over all targets each gateway gets its exact part.
+    # Rounding down on every target would leave a gateway with a small share without
+    # any slot. The rounding point differs by target, so that over all targets each
+    # gateway gets its exact share.
     before = sum(w for g, w in weights.items() if g < me)
     total = sum(weights.values())
     low, high = before / total, (before + weights[me]) / total
@@ -81,8 +82,8 @@
 
 
 def _round(boundary: float, target: str) -> int:
-    # The marks of neighbours are the same number worked out in two ways; the
-    # last digits must not decide.
+    # The upper boundary of one gateway and the lower one of the next are the same
+    # number computed in two ways; floating-point error must not separate them.
     return int(round(boundary, 6) + _hash(target, "") / 2**64)
 
 
