--- a/src/firladder/_internal/policies/backfill.py
+++ b/src/firladder/_internal/policies/backfill.py
@@ -1,8 +1,8 @@
-"""Start small jobs around the reservations of large ones.
+"""Backfill small jobs around the reservations of large gangs.
 
-The load this is made for: long saturation by small jobs in which a gang of whole
-workers never finds them free together. Without a reservation every worker that
-comes free is taken by the next small job, and the large one waits for ever.
+This handles long saturation by small jobs, in which a gang that needs whole workers
+never finds them free at the same time. Without a reservation the next small job takes
+each worker that becomes free, and the large gang starves.
 """
 
 import dataclasses
@@ -22,11 +22,11 @@
 )
 
 OVERRUN_FRACTION = 0.25
-"""A gang that has outrun its estimate is taken to run for this part of its time
-again: the estimate is known to be wrong, and the longer it runs the more so."""
+"""Fraction of its elapsed time that a gang beyond its estimate is expected to run
+on: the longer it has run, the more the estimate is wrong."""
 
 ATTEMPTS_PER_RESERVATION = 2
-"""Gangs for which a reservation is looked for, for each one that may be held."""
+"""Gangs for which a reservation is attempted, per reservation that may be held."""
 
 NEVER = float("inf")
 
@@ -35,7 +35,7 @@
 class Reservation:
     """Workers kept for a waiting gang, and when it is expected to start.
 
-    ``drain`` keeps even short jobs off them, so that nothing delays the gang.
+    With ``drain`` even short jobs are not backfilled, so that nothing delays the gang.
     """
 
     job: str
@@ -46,11 +46,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BackfillLimits:
-    """How a backfill policy goes about it.
+    """Limits of a backfill policy.
 
-    ``reservations`` bounds how many waiting gangs hold one, for each takes
-    workers out of use for jobs that run past its start. ``drain_after_s`` is how
-    long a gang waits before its reservation drains.
+    ``reservations`` bounds how many waiting gangs hold one, as each keeps its workers
+    from jobs that run past its start. ``drain_after_s`` is how long a gang waits
+    before its reservation drains.
     """
 
     reservations: int
@@ -61,7 +61,7 @@
 
 
 class Backfiller:
-    """One pass over the queue of jobs that borrow."""
+    """One backfill pass over the queue of jobs that run outside guaranteed cells."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         choose: Chooser,
         limits: BackfillLimits,
     ) -> None:
-        """Plan on ``plan`` with these estimates, choice of place and limits."""
+        """Backfill on ``plan`` with this estimator, placement choice and limits."""
         self.plan = plan
         self.reservations: list[Reservation] = []
         self._estimate = estimator
@@ -99,7 +99,7 @@
         return self._now + max(left_s, OVERRUN_FRACTION * ran_s, 1.0)
 
     def run(self, queue: Iterable[QueuedJob]) -> list[Place]:
-        """Start what fits, and reserve for the first that do not."""
+        """Place the jobs that fit, and reserve for the first ones that do not."""
         placed = []
         for job in queue:
             place = self._try_place(job)
@@ -110,20 +110,21 @@
         return placed
 
     def _may_reserve(self) -> bool:
-        # A gang that no present workers hold gets no reservation, however often
-        # it is tried; a queue of them would make each pass seconds long.
+        # A gang that does not fit on the present workers never gets a reservation.
+        # A queue of such gangs would make each pass seconds long without this bound.
         few = self._attempts < ATTEMPTS_PER_RESERVATION * self._limits.reservations
         return few and len(self.reservations) < self._limits.reservations
 
     def reserve_for(self, queue: Iterable[QueuedJob]) -> frozenset[str]:
-        """Reserve for waiting gangs alone, and return the workers."""
+        """Reserve for the waiting gangs without placing any; return the workers."""
         for job in itertools.islice(queue, self._limits.reservations):
             self._reserve(job)
         return frozenset(w for r in self.reservations for w in r.workers)
 
     def _try_place(self, job: QueuedJob) -> Place | None:
-        # Room only shrinks within a pass: what failed once fails again, which
-        # keeps a pass over a queue of thousands of like jobs short.
+        # Free capacity only shrinks within a pass, so jobs with the same requirements
+        # as one that did not fit are skipped. This keeps a pass over thousands of
+        # similar jobs short.
         end_at = self._now + self.estimate(job.spec, job.organisation)
         closed = frozenset(
             w
@@ -177,7 +178,7 @@
     def _find_group_start(
         self, spec: JobSpec, group: Sequence[FreeCapacity]
     ) -> tuple[float, tuple[str, ...]] | None:
-        """Return when the group could start the gang first, and on which workers."""
+        """Return the earliest start of the gang in the group, and its workers."""
         most = max((_count_members_when_empty(spec, r) for r in group), default=0)
         if most == 0:
             return None
@@ -197,7 +198,7 @@
     def _find_start(
         self, worker_plan: WorkerPlan, spec: JobSpec, members: int
     ) -> float:
-        """Return when a worker could hold so many members of the gang."""
+        """Return when the worker is expected to have capacity for the members."""
         capacity = worker_plan.room
         accelerators, cpus, memory = (
             len(capacity.free),
@@ -246,28 +247,27 @@
 def choose_first_fit(
     job: QueuedJob, capacities: Sequence[FreeCapacity]
 ) -> tuple[Member, ...] | None:
-    """Take the first place that fits, in order of rack and worker."""
+    """Return the first placement that fits, in order of rack and worker."""
     return place_gang(job, capacities)
 
 
 class BestFit:
-    """Take the tightest place, and keep whole workers and racks whole.
+    """Choose the tightest placement, to avoid fragmentation of workers and racks.
 
-    The load this is made for: many small jobs and a few gangs of whole workers.
-    First fit spreads the small ones over every worker that has room, and each
-    one then spoils a whole worker. ``lend_last`` names workers where idle
-    guaranteed cells lie: work that cannot be checkpointed goes there last, as an
-    owner's reclaim would throw it away.
+    This handles many small jobs beside a few gangs of whole workers. First fit spreads
+    the small jobs over all workers with free capacity, and each one then fragments a
+    worker. ``lend_last`` names the workers of idle guaranteed cells: work that cannot
+    be checkpointed goes there last, as a reclaim by the owner would lose it.
     """
 
     def __init__(self, lend_last: frozenset[str] = frozenset()) -> None:
-        """Remember the workers to be lent last."""
+        """Use ``lend_last`` only when no other worker fits."""
         self._lend_last = lend_last
 
     def __call__(
         self, job: QueuedJob, capacities: Sequence[FreeCapacity]
     ) -> tuple[Member, ...] | None:
-        """Return the gang's members in the tightest place, or None."""
+        """Return the gang's members in the tightest placement, or None."""
         allowed = [
             r
             for r in capacities
--- a/src/firladder/_internal/policies/cell_packing.py
+++ b/src/firladder/_internal/policies/cell_packing.py
@@ -1,16 +1,15 @@
-"""Decide whether all guaranteed cells of a failure domain fit together.
-
-A count of accelerators can be free while the shape is not: sixteen
-accelerators on sixteen workers hold no gang of sixteen. Checked when the
-configuration changes, so that no promise is accepted that cannot be kept, and
-again in every placement pass, with what runs in guaranteed cells left in place.
-
-Cells are rounded up to buddy sizes: a power of two of accelerators on one
-worker, or a power of two of whole workers of one rack. Such sizes divide each
-other, and then taking the largest first packs them whenever any order does,
-whichever place each one takes. Without the rounding a cell of three could sit
-so that a cell of four finds no place although a better packing exists, and a
-guarantee that was accepted could not be reclaimed.
+"""Pack the guaranteed cells of a failure domain onto its workers.
+
+Enough accelerators may be free by count but not in the shape: one on each of sixteen
+workers does not make a cell of sixteen. The packing is checked when the configuration
+changes, so that every accepted guarantee can be kept, and in every placement pass,
+around the gangs that run in guaranteed cells.
+
+Cells are rounded up to buddy sizes: a power of two of accelerators on one worker, or a
+power of two of whole workers of one rack. Such sizes divide each other, so packing the
+largest first succeeds whenever any order does, whichever placement each one gets.
+Without the rounding a cell of three could be placed so that a cell of four does not fit
+although a better packing exists, and an accepted guarantee could not be reclaimed.
 """
 
 import dataclasses
@@ -24,10 +23,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CellSlot:
-    """One guaranteed cell of an organisation, not bound to a place yet.
+    """One guaranteed cell of an organisation, not yet bound to workers.
 
-    ``accelerators`` is the rounded size. ``whole`` says that the slot takes
-    whole workers of one rack.
+    ``accelerators`` is the rounded size. With ``whole_workers`` the slot takes whole
+    workers of one rack.
     """
 
     organisation: str
@@ -38,9 +37,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Need:
-    """Room to be found for a slot, or for the rest of one that is in use.
+    """Accelerators to be packed for an idle slot, or for the rest of one in use.
 
-    ``rack`` is set when part of the slot is in use there already.
+    ``rack`` is set if part of the slot is in use there already.
     """
 
     slot: CellSlot
@@ -50,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bin:
-    """A worker as the packing sees it."""
+    """A worker as a bin of the packing."""
 
     name: str
     rack: str
@@ -59,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CellPlacement:
-    """Where one guaranteed cell could lie: accelerators taken of each worker."""
+    """A possible placement of a guaranteed cell: accelerators on each worker."""
 
     organisation: str
     workers: tuple[tuple[str, int], ...]
@@ -67,7 +66,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Packing:
-    """The places found for all needs, and the needs that found none."""
+    """The placements found, and the needs that do not fit."""
 
     placements: dict[CellSlot, tuple[tuple[str, int], ...]]
     missing: list[Need]
@@ -127,11 +126,11 @@
     capacity: Mapping[str, int],
     cost: Callable[[str], float] = lambda _: 0.0,
 ) -> Packing:
-    """Find a place for every need within the workers' free capacity.
+    """Pack every need into the workers' remaining capacity.
 
-    The rests of slots in use go first, as they are tied to a rack; then the
-    largest. Among places that serve, the one that ``cost`` finds cheapest is
-    taken, then the fullest worker, so that whole workers stay whole.
+    The rests of slots in use are packed first, as they are tied to a rack; then the
+    largest. The cheapest placement by ``cost`` is chosen, then the fullest worker, so
+    that other workers stay empty.
     """
     left = dict(capacity)
     racks: dict[str, list[str]] = {}
@@ -195,7 +194,7 @@
     workers: Iterable[Machine],
     failure_domain: str,
 ) -> list[CellPlacement] | GuaranteesDoNotFit:
-    """Return a site for every guaranteed cell, or the first that has none."""
+    """Return a placement for every guaranteed cell, or the first that does not fit."""
     bins = {w.name: Bin(w.name, w.rack, w.accelerators) for w in workers}
     slots = list_slots(organisations, failure_domain, bins.values())
     packing = pack_needs(
--- a/src/firladder/_internal/policies/cells.py
+++ b/src/firladder/_internal/policies/cells.py
@@ -1,16 +1,15 @@
 """Bind guaranteed cells to workers, and keep every guarantee reclaimable.
 
-The invariant, kept by construction: beside the gangs that run in guaranteed
-cells there is at all times a place for every cell that is not in use, and
-whatever lies there is free or lent. ``PlacementPlan`` finds these places anew in each
-pass by packing all unused cells around the bound ones; nothing is bound unless
-the packing of the rest still succeeds. So the owner's job can always be started
-by evicting borrowers alone. Were a cell bound without that check, gangs in
-small cells could come to lie on every worker, and an organisation with a cell
-of whole workers would find its guarantee free by count and nowhere in shape.
-
-Cells are bound late, when a job starts in them: until then an idle cell lies
-wherever reclaiming it costs the least work.
+Invariant: beside the gangs that run in guaranteed cells there is always a placement
+for every unused cell, on accelerators that are free or lent. ``PlacementPlan`` computes
+these placements in each pass by packing all unused cells around the bound ones, and a
+cell is bound only if the others can still be packed. So the owner's job can always be
+started by preempting borrowers alone. Without that check, gangs in small cells could
+occupy a part of every worker, and an organisation with a cell of whole workers would
+have enough accelerators free by count but not in the shape.
+
+A cell is bound to workers only when a job starts in it; until then it is placed
+wherever reclaiming it loses the least work.
 """
 
 import dataclasses
@@ -25,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class BoundSlot:
-    """A slot in use: where it lies and what its gangs take of each worker."""
+    """A slot in use: its rack, and the accelerators its gangs hold on each worker."""
 
     slot: CellSlot
     rack: str
@@ -35,7 +34,11 @@
 
 @dataclasses.dataclass(slots=True)
 class WorkerPlan:
-    """A worker in a plan: its free room, and what gangs hold of it."""
+    """A worker in a plan: its free capacity, and the gangs that hold the rest.
+
+    ``cpus`` and ``memory_mb`` are totals; ``holds`` pairs each gang with the number of
+    accelerators it holds.
+    """
 
     view: WorkerView
     room: FreeCapacity
@@ -44,11 +47,11 @@
     holds: list[tuple[RunningJob, int]]
 
     def is_within_share(self, spec: JobSpec) -> bool:
-        """Return whether a member takes no more than its accelerators' share.
+        """Return whether a member uses no more than its accelerators' share.
 
-        A guarantee is of accelerators with their part of processors and memory.
-        A member that takes more could keep a neighbouring cell from starting,
-        so it runs as a borrower and can be evicted.
+        A guarantee covers accelerators with a proportional share of CPUs and memory.
+        A member that uses more could keep another cell on the worker from starting,
+        so it runs as a borrower and can be preempted.
         """
         worker_size = max(1, self.view.accelerators)
         return (
@@ -58,10 +61,10 @@
 
 
 class PlacementPlan:
-    """One placement pass's plan: the room left and the cells bound."""
+    """Plan of one placement pass: free capacity of the workers, and bound cells."""
 
     def __init__(self, view: DomainView) -> None:
-        """Lay the running gangs out, and bind the cells they run in."""
+        """Plan from the running gangs, and bind the cells they run in."""
         self.view = view
         self.worker_plans = _plan_workers(view)
         self.bins = {
@@ -81,10 +84,10 @@
     def _bind_running(self) -> None:
         """Bind the cells of running gangs, oldest first.
 
-        After a change of shapes, or the loss of workers, gangs may lie where
-        the cells no longer fit around them. Then the newest lose their cells,
-        until all unused cells have a place: such a gang runs on as a borrower,
-        and its organisation's cell is free to be claimed elsewhere.
+        After a change of shapes or a loss of workers, the unused cells may no longer
+        fit around the gangs. Then the newest gangs lose their cells until all unused
+        cells fit: such a gang runs on as a borrower, and its organisation can reclaim
+        the cell on other workers.
         """
         by_name = {(s.organisation, s.name): s for s in self.slots}
         holders = sorted(
@@ -126,7 +129,7 @@
     def bind(
         self, slot: CellSlot, rack: str, used: dict[str, int], gang: RunningJob | None
     ) -> None:
-        """Put a gang into a slot, binding the slot if it was not."""
+        """Add a gang to a slot, and bind the slot if it is not bound yet."""
         bound = self.bound.get(slot)
         if bound is None:
             bound = self.bound[slot] = BoundSlot(slot, rack, {}, [])
@@ -146,7 +149,7 @@
             bound.gangs.append(gang)
 
     def start(self, job: QueuedJob, members: tuple[Member, ...]) -> RunningJob:
-        """Lay a gang out that starts in this pass; its room is taken already."""
+        """Add a gang that starts in this pass; its capacity is taken already."""
         gang = RunningJob(
             job.spec, job.organisation, job.urgency, members, self.view.now
         )
@@ -156,7 +159,7 @@
         return gang
 
     def list_needs(self) -> Iterable[Need]:
-        """Return what still has to find a place: idle slots, and rests of bound."""
+        """Yield what is still to be packed: idle slots, and the rest of bound ones."""
         for slot in self.slots:
             bound = self.bound.get(slot)
             if bound is None:
@@ -167,7 +170,7 @@
                     yield Need(slot, rest, bound.rack)
 
     def count_covered(self, bound: BoundSlot) -> int:
-        """Return the accelerators of the whole workers that a bound slot has."""
+        """Return the accelerators of the whole workers that a bound slot uses."""
         return sum(
             self.worker_plans[w].view.accelerators
             for w in bound.used
@@ -175,11 +178,11 @@
         )
 
     def pack(self, cost: Cost) -> Packing:
-        """Find a place for everything that needs one."""
+        """Pack all needs at the least cost."""
         return pack_needs(self.list_needs(), self.bins, self.capacity, cost)
 
     def count_held(self, worker: str) -> float:
-        """Return the accelerators that gangs hold of a worker."""
+        """Return how many accelerators of a worker gangs hold."""
         return sum(held for _, held in self.worker_plans[worker].holds)
 
     def list_guaranteed(self) -> set[str]:
@@ -210,10 +213,10 @@
 
 
 def find_degraded(view: DomainView) -> dict[str, str]:
-    """Return the organisations whose guarantee has no place now, and why.
+    """Return the organisations whose guarantee cannot be placed now, and why.
 
-    Workers die, and with them the room of a shape. The guarantee then cannot be
-    honoured whatever is evicted, and its owner is told so instead of waiting.
+    After a loss of workers a guarantee may not be satisfiable whatever is preempted;
+    its owner is told so instead of waiting.
     """
     plan = PlacementPlan(view)
     reasons: dict[str, str] = {}
--- a/src/firladder/_internal/policies/configuration_changes.py
+++ b/src/firladder/_internal/policies/configuration_changes.py
@@ -1,4 +1,4 @@
-"""Decide whether a change of the configuration can be accepted."""
+"""Apply changes to the configuration, and check whether the result is valid."""
 
 import itertools
 from collections.abc import Iterable, Sequence
@@ -36,18 +36,18 @@
 
 
 RESTORE_REVISION_GAP = 10_000
-"""Revisions left out when a store restored from an old copy is brought up to
-date: three days of changes that others may have been told are accepted."""
+"""Revisions skipped when a store restored from an old backup is brought up to date:
+three days of changes that may have been accepted and are not in the backup."""
 
 
 def choose_base(
     stored: Configuration, known: Configuration, *, newest: int
 ) -> Configuration | StoreUnavailable:
-    """Return what a change starts from: the store's state, unless it went back.
+    """Return the base of a change: the stored configuration unless it is outdated.
 
-    ``known`` was in force here before the store was read, so a store that is
-    older was restored from an old copy. A change on top of that copy would get
-    a revision that no process adopts: accepted, and never in force.
+    ``known`` was in force here before the store was read, so a store with an older
+    revision was restored from an old backup. A change based on that would get a
+    revision that no process adopts: accepted, but never in force.
     """
     if stored.revision >= known.revision:
         return stored
@@ -65,13 +65,13 @@
 def apply_changes(
     base: Configuration, change_set: ChangeSet, workers: Iterable[Machine]
 ) -> Configuration | Failure:
-    """Return the configuration with all changes, or why none can be made."""
-    twice = find_repeated(change_set.changes)
-    if twice is not None:
-        return twice
+    """Return the configuration with all changes, or why they are refused."""
+    repeated = find_repeated(change_set.changes)
+    if repeated is not None:
+        return repeated
     if change_set.expected_revision != base.revision:
-        # Two operators change what they saw; the second would undo the first
-        # without either noticing, so the second is told.
+        # Of two operators who change the same revision, the second would undo the
+        # first one's change unnoticed, so the second change is refused.
         return RevisionConflict(
             reason=f"the configuration is at revision {base.revision}",
             field="expected_revision",
@@ -89,7 +89,7 @@
 
 
 def find_repeated(changes: Sequence[Change]) -> InvalidValue | None:
-    """Return a failure if a part is changed twice, which the store refuses."""
+    """Return a failure if a part is changed twice, which the store would refuse."""
     seen: set[tuple[str, str]] = set()
     for number, change in enumerate(changes):
         part = (change.kind, change.name)
@@ -139,24 +139,24 @@
 def check_configuration(
     base: Configuration, configuration: Configuration, workers: Iterable[Machine]
 ) -> Failure | None:
-    """Return why the configuration as a whole is wrong, seen from its base."""
+    """Return why the configuration is invalid as a whole, or None."""
     for name, rule in configuration.rules.items():
         failure = _check_rule(configuration, name, rule)
         if failure is not None:
             return failure
-    # Only failure domains that are to promise more are checked. With a rack
-    # down the old promises may not fit; checking them all would refuse every
-    # change, the ones that make room among them, until the rack is back.
-    grown = sorted(
+    # Only failure domains whose guarantees grow are checked. With a rack down the
+    # existing guarantees may not fit; checking them all would refuse every change
+    # until the rack is back, even one that reduces a guarantee.
+    grown_domains = sorted(
         {
             cell.failure_domain
             for name, org in configuration.organisations.items()
             for cell in org.shape
-            if _promises_more(base, configuration, name, cell.failure_domain)
+            if _guarantees_more(base, configuration, name, cell.failure_domain)
         }
     )
     machines = list(workers)
-    unfit = [f for d in grown for f in _find_unfit(configuration, machines, d)]
+    unfit = [f for d in grown_domains for f in _find_unfit(configuration, machines, d)]
     if not unfit:
         return None
     return GuaranteesDoNotFit(
@@ -164,10 +164,10 @@
     )
 
 
-def _promises_more(
+def _guarantees_more(
     base: Configuration, fresh: Configuration, organisation: str, domain: str
 ) -> bool:
-    """Return whether some cell is new or larger than the one in its place before."""
+    """Return whether a cell is new or larger, comparing both by descending size."""
     before, after = (_list_sizes(c, organisation, domain) for c in (base, fresh))
     pairs = itertools.zip_longest(before, after, fillvalue=0)
     return any(new > old for old, new in pairs)
@@ -185,7 +185,7 @@
 def _find_unfit(
     configuration: Configuration, machines: list[Machine], domain: str
 ) -> Iterable[GuaranteesDoNotFit]:
-    """Yield each organisation whose shape has no place beside those that have."""
+    """Yield a failure for each organisation whose shape does not fit."""
     present = [m for m in machines if m.failure_domain == domain]
     organisations = dict(configuration.organisations)
     while organisations:
--- a/src/firladder/_internal/policies/domain_selection.py
+++ b/src/firladder/_internal/policies/domain_selection.py
@@ -1,4 +1,4 @@
-"""Decide which failure domain a job goes to; a gang never spans two."""
+"""Choose the failure domain of a job; a gang never spans two."""
 
 from collections.abc import Iterable, Mapping, Sequence
 
@@ -10,7 +10,7 @@
 
 
 def count_members_when_empty(spec: JobSpec, workers: Sequence[Machine]) -> int:
-    """Return how many members the workers hold when they are empty."""
+    """Return how many members fit on the workers when these are empty."""
     return sum(_count_members(spec, worker) for worker in workers)
 
 
@@ -26,7 +26,7 @@
 
 
 def can_ever_fit(spec: JobSpec, workers: Iterable[Machine]) -> bool:
-    """Return whether the gang would fit into an empty failure domain."""
+    """Return whether the gang would fit on the workers if all were empty."""
     groups: dict[str, list[Machine]] = {}
     for worker in workers:
         key = {"worker": worker.name, "rack": worker.rack, "domain": ""}
@@ -47,10 +47,10 @@
 ) -> str | GangTooLarge | InvalidValue:
     """Return the failure domain for a job, or why there is none.
 
-    A job that can never fit is refused here: queued, it would wait for ever
-    and, at the head of the queue, hold a reservation that starves the others.
-    Where the organisation has a guarantee it can be reclaimed, so that domain
-    goes first; then the one with the fewest queued and running jobs.
+    A job that can never fit is refused here: it would wait in the queue without end
+    and, at its head, hold a reservation that starves others. Domains where the
+    organisation has a guarantee that it can reclaim are preferred; then the domain with
+    the fewest queued and running jobs.
     """
     domains = sorted({w.failure_domain for w in workers})
     if spec.failure_domain is not None and spec.failure_domain not in domains:
--- a/src/firladder/_internal/policies/estimating.py
+++ b/src/firladder/_internal/policies/estimating.py
@@ -1,8 +1,8 @@
-"""Estimate how long jobs run; what callers declare is far off.
+"""Estimate the run times of jobs from declared and measured ones.
 
-The load this is made for: declared run times wrong by a factor of ten either
-way. Trusting them, a reservation for a large job lies hours too late or too
-early, and the jobs that backfill around it either never start or delay it.
+Declared run times may be wrong by a factor of ten either way. A reservation based on
+them would be hours too late or too early, and the jobs backfilled around it would
+either never start or delay it.
 """
 
 import statistics
@@ -13,12 +13,12 @@
 from .registry import Registry
 
 MAX_RATIOS = 20
-"""Ratios kept for each class: enough for a steady median, few enough that a
-class whose jobs change is followed within twenty of them."""
+"""Ratios kept per class: enough for a stable median, few enough to follow a change
+of the class's jobs within twenty of them."""
 
 MAX_CLASSES = 500
-"""Classes kept at most, the oldest going first, so that callers who give every
-job labels of its own cannot fill the leader's memory: 500 times 20 floats."""
+"""Classes kept; the oldest is dropped first. Bounds the leader's memory to 500 times
+20 floats when callers give every job labels of its own."""
 
 MIN_RATIO, MAX_RATIO = 0.01, 100.0
 
@@ -28,7 +28,7 @@
 
 
 def name_job_class(spec: JobSpec, organisation: str) -> str:
-    """Return the class whose jobs are taken to err alike: organisation and labels."""
+    """Return the key of the job's class: its organisation and labels."""
     labels = ",".join(f"{k}={v}" for k, v in sorted(spec.labels.items()))
     return f"{organisation}|{labels}"
 
@@ -45,7 +45,7 @@
 def correct_declared(
     spec: JobSpec, organisation: str, history: Mapping[str, float]
 ) -> float:
-    """Return the declared run time times the ratio seen for the job's class."""
+    """Return the declared run time times the median ratio of the job's class."""
     ratio = history.get(name_job_class(spec, organisation))
     if ratio is None:
         ratio = history.get(organisation, 1.0)
@@ -53,17 +53,17 @@
 
 
 class RunHistory:
-    """Ratios of real to declared run time, by class and by organisation."""
+    """Ratios of actual to declared run time, by class and by organisation."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Create an empty history."""
         self._ratios: dict[str, deque[float]] = defaultdict(
             lambda: deque(maxlen=MAX_RATIOS)
         )
         self._medians: dict[str, float] = {}
 
     def record_run(self, spec: JobSpec, organisation: str, run_s: float) -> None:
-        """Take in the real run time of a job that is done."""
+        """Record the actual run time of a finished job."""
         ratio = min(MAX_RATIO, max(MIN_RATIO, run_s / spec.run_time_s))
         for name in (name_job_class(spec, organisation), organisation):
             self._ratios[name].append(ratio)
--- a/src/firladder/_internal/policies/membership.py
+++ b/src/firladder/_internal/policies/membership.py
@@ -1,9 +1,9 @@
 """Decide which peers to contact, and which count as lost.
 
-Made for 6 failure domains of 9 entry VMs with 2 processes each. Everybody
-greeting everybody each second costs each process some 100 KB a second there,
-so only gateways of one failure domain, which share targets slot by slot, hear
-each other every period; all others are contacted by turns.
+Sized for 6 failure domains of 9 entry VMs with 2 processes each. If all processes
+contacted each other every second, each would use some 100 KB a second. So only the
+gateways of one failure domain, which share the slots of targets, exchange heartbeats
+every period; all other peers are contacted in rotation.
 """
 
 import dataclasses
@@ -13,29 +13,29 @@
 from collections.abc import Collection, Iterable
 
 SILENT_PERIODS = 4
-"""Times the expected period without a word after which a peer counts as lost.
-One lost packet or a pause of a second must not empty a gateway's shares."""
+"""Missed contact periods after which a peer counts as lost. One lost packet or a
+pause of a second must not make a gateway lose its shares."""
 
 EXPIRY_PERIODS = 600
-"""Periods after which a silent peer's row is dropped; VMs are replaced daily."""
+"""Periods after which a silent peer is forgotten; VMs are replaced daily."""
 
 NEAR_FANOUT = 2
-"""Peers of the own failure domain contacted each period beside close ones."""
+"""Peers of the own failure domain contacted each period, close ones excluded."""
 
 FAR_FANOUT = 2
-"""Other failure domains of which one peer each is contacted each period."""
+"""Other failure domains in which one peer is contacted each period."""
 
 RETRY_FANOUT = 2
-"""Lost peers, and addresses not heard of yet, tried each period."""
+"""Lost peers contacted each period, and as many addresses without a known peer."""
 
 FRESH_FRACTION = 0.8
-"""Part of a period within which a close peer that was heard is not greeted:
-one exchange tells both sides, so a second one is paid for nothing."""
+"""Fraction of a period for which a close peer is not contacted after a message from
+it: one exchange informs both sides, so a second one would be wasted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerView:
-    """What is known of a peer; times are monotonic seconds."""
+    """A peer as this process knows it; times are monotonic seconds."""
 
     address: str
     failure_domain: str
@@ -46,13 +46,13 @@
 
     @property
     def contacted_at(self) -> float:
-        """Return when the last exchange with the peer was begun."""
+        """Return the time of the last contact from or to the peer."""
         return max(self.heard_at, self.asked_at)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetView:
-    """The fleet as one process knows it. ``period_s`` is between heartbeats."""
+    """The fleet as one process knows it; ``period_s`` is the heartbeat interval."""
 
     now: float
     period_s: float
@@ -61,12 +61,12 @@
     peers: tuple[PeerView, ...]
 
     def shares_targets_with(self, peer: PeerView) -> bool:
-        """Return whether this process shares targets with the peer."""
+        """Return whether both are gateways that share targets (a close peer)."""
         near = peer.failure_domain == self.failure_domain
         return near and self.role == peer.role == "gateway"
 
     def split(self) -> tuple[list[PeerView], list[PeerView], list[list[PeerView]]]:
-        """Return close peers, others nearby, and those of each other domain."""
+        """Return close peers, others of this domain, and peers by other domain."""
         near = [p for p in self.peers if p.failure_domain == self.failure_domain]
         close = [p for p in near if self.shares_targets_with(p)]
         others = [p for p in near if not self.shares_targets_with(p)]
@@ -83,18 +83,18 @@
 def choose_contacts(
     view: FleetView, *, unknown_addresses: Collection[str], rng: random.Random
 ) -> set[str]:
-    """Return the addresses to greet in this period."""
+    """Return the addresses to contact in this period."""
     alive = dataclasses.replace(view, peers=tuple(p for p in view.peers if not p.lost))
     close, others, far = alive.split()
     due = view.now - FRESH_FRACTION * view.period_s
     greeted = {p.address for p in close if p.heard_at < due}
-    # Strictly by turns: drawn at random, a live peer can go undrawn for longer
-    # than the limit of its silence.
+    # In strict rotation: with a random choice, a live peer may not be contacted for
+    # longer than the time after which it counts as lost.
     turns = sorted(others, key=lambda p: p.contacted_at)[:NEAR_FANOUT]
     domains = sorted(far, key=lambda group: max(p.asked_at for p in group))
     visits = (min(g, key=lambda p: p.contacted_at) for g in domains[:FAR_FANOUT])
-    # Lost peers and strangers are tried again: after a cut heals nobody else
-    # may tell this process that they are back.
+    # Lost peers and unknown addresses are retried: after a network partition heals,
+    # no other process may report that they are back.
     lost = [p.address for p in view.peers if p.lost]
     retried = _sample(lost, rng) | _sample(sorted(unknown_addresses), rng)
     return greeted | {p.address for p in (*turns, *visits)} | retried
@@ -105,7 +105,7 @@
 
 
 def find_lost(view: FleetView) -> set[str]:
-    """Return the peers that have been silent for too long."""
+    """Return the peers that have not been heard for too long."""
     close, others, far = view.split()
     turn = max(1, math.ceil(len(others) / NEAR_FANOUT))
     silent = {p.address for p in close if _is_silent(view, p.heard_at, 1)}
@@ -115,8 +115,8 @@
 
 
 def _find_lost_far(view: FleetView, group: list[PeerView], visit: int) -> Iterable[str]:
-    # One peer of a large failure domain comes up rarely. That the whole domain
-    # is silent is noticed much sooner, which is how a cut shows.
+    # One peer of a large failure domain is contacted rarely, so a partition shows
+    # much sooner by the silence of the whole domain.
     if _is_silent(view, max(p.heard_at for p in group), visit):
         return {p.address for p in group}
     turn = visit * len(group)
@@ -128,15 +128,15 @@
 
 
 def find_expired(view: FleetView) -> set[str]:
-    """Return the peers whose rows need not be kept any longer."""
+    """Return the peers that have been silent for so long that they are forgotten."""
     oldest = view.now - EXPIRY_PERIODS * view.period_s
     return {p.address for p in view.peers if p.heard_at < oldest}
 
 
 def measure_pause(*, slept_s: float, period_s: float) -> float:
-    """Return for how long this process itself was paused, in seconds.
+    """Return for how long this process itself was suspended, in seconds.
 
-    A process that wakes after a pause has heard nobody, and would take all
-    peers for lost although only it was away.
+    A process that resumes has received no heartbeats, and would take all peers for
+    lost although only it was suspended.
     """
     return slept_s if slept_s > 2 * period_s else 0.0
--- a/src/firladder/_internal/policies/placement.py
+++ b/src/firladder/_internal/policies/placement.py
@@ -1,7 +1,7 @@
-"""Decide which queued gang starts where, and which running gang must yield.
+"""Types and helpers of placement policies, and the first-fit baseline.
 
-A policy gets a whole view of one failure domain and returns typed actions; it
-has no input, output, clock or randomness of its own.
+A policy gets a complete view of one failure domain and returns actions: gangs to start,
+to preempt or to end. It is a pure function, without I/O, clock or random source.
 """
 
 import dataclasses
@@ -17,10 +17,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerView:
-    """A worker as the leader's books have it.
+    """A worker in the leader's accounting.
 
-    ``free`` lists accelerator numbers that no gang holds. A worker that is not
-    ``usable`` (unclaimed, cut off, quarantined or leaving) takes nothing new.
+    ``free`` lists the accelerator numbers that no gang holds. A worker that is not
+    ``usable`` (unclaimed, unreachable, quarantined or leaving) gets no new work.
     """
 
     name: str
@@ -35,7 +35,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueuedJob:
-    """A job that waits. ``not_before`` keeps it back until old members lapse."""
+    """A waiting job.
+
+    It may not start until ``not_before``, when the leases of its old members have
+    expired. ``avoid`` names workers on which it failed.
+    """
 
     spec: JobSpec
     organisation: str
@@ -48,11 +52,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningJob:
-    """A gang that holds accelerators. ``stopping`` says that it is on its way out.
+    """A gang that holds accelerators.
 
-    ``cell`` names the guaranteed cell of its organisation that it runs in; empty,
-    the gang borrows. ``workers`` is the selector in force now, which may have
-    changed since the start. ``preempted_for`` names the job that it makes way for.
+    ``stopping`` is set once it has been told to stop. ``cell`` names the guaranteed
+    cell of its organisation that it runs in; if empty, the gang is a borrower.
+    ``workers`` is the selector in force now, which may have changed since the start.
+    ``preempted_for`` names the job for which it was preempted.
     """
 
     spec: JobSpec
@@ -68,10 +73,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DomainView:
-    """All that a placement decision may look at. ``now`` is wall time in seconds.
+    """The input of a placement policy. ``now`` is wall time in seconds.
 
-    ``history`` maps a class of jobs to the ratio of real to declared run time
-    seen lately; see ``estimating``.
+    ``history`` maps a class of jobs to its recent median ratio of actual to declared
+    run time; see ``estimating``. With ``idempotent_only`` only idempotent jobs may
+    start.
     """
 
     failure_domain: str
@@ -95,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Preempt:
-    """Stop a running gang and queue it again, to make room for ``beneficiary``."""
+    """Stop a running gang and queue it again, in favour of ``beneficiary``."""
 
     job: str
     beneficiary: str
@@ -121,7 +127,7 @@
 
 @dataclasses.dataclass(slots=True)
 class FreeCapacity:
-    """Free room of a worker while a plan is being made."""
+    """Free capacity of a worker while a plan is being made."""
 
     view: WorkerView
     free: list[int]
@@ -129,7 +135,7 @@
     memory_mb: int
 
     def count_members(self, spec: JobSpec) -> int:
-        """Return how many members of the gang the worker holds at once."""
+        """Return how many members of the gang fit on the worker at once."""
         limits = [spec.members]
         if spec.accelerators:
             limits.append(len(self.free) // spec.accelerators)
@@ -140,7 +146,7 @@
         return max(0, min(limits))
 
     def take(self, spec: JobSpec) -> tuple[int, ...]:
-        """Take one member's room and return its accelerators."""
+        """Take the capacity of one member and return its accelerators."""
         taken = tuple(self.free[: spec.accelerators])
         del self.free[: spec.accelerators]
         self.cpus -= spec.cpus
@@ -149,7 +155,7 @@
 
 
 def list_free_capacity(workers: Iterable[WorkerView]) -> list[FreeCapacity]:
-    """Return the room on every usable worker."""
+    """Return the free capacity of every usable worker."""
     return [
         FreeCapacity(w, list(w.free), w.cpus_free, w.memory_free_mb)
         for w in workers
@@ -160,7 +166,7 @@
 def group_by_adjacency(
     spec: JobSpec, capacities: Iterable[FreeCapacity]
 ) -> list[list[FreeCapacity]]:
-    """Return the groups of workers within which all members must lie."""
+    """Return the groups of workers of which one must hold all members."""
     ordered = sorted(capacities, key=lambda r: (r.view.rack, r.view.name))
     if spec.adjacency == "worker":
         return [[capacity] for capacity in ordered]
@@ -173,7 +179,7 @@
 def place_gang(
     job: QueuedJob, capacities: Iterable[FreeCapacity]
 ) -> tuple[Member, ...] | None:
-    """Take room for a whole gang in the first group that holds it, or none."""
+    """Take capacity for all members in the first group that holds them, if any."""
     allowed = [
         r
         for r in capacities
@@ -212,7 +218,7 @@
 
 @PLACEMENTS.register("first_fit")
 def place_first_fit(view: DomainView) -> list[Action]:
-    """Start whatever fits, in order of the queue; the simplest baseline."""
+    """Start every job that fits, in order of the queue (simplest baseline)."""
     capacities = list_free_capacity(view.workers)
     placed = ((job, place_gang(job, capacities)) for job in order_queue(view))
     return [Place(job.spec.id, members) for job, members in placed if members]
--- a/src/firladder/_internal/policies/placement_policies.py
+++ b/src/firladder/_internal/policies/placement_policies.py
@@ -1,4 +1,4 @@
-"""The placement policies: the product's own, and the baselines it is held to."""
+"""The placement policies: the default one, and the baselines it is compared with."""
 
 import dataclasses
 import itertools
@@ -27,43 +27,43 @@
 from .reclaim_policies import RECLAIMS
 
 MAX_RESERVATIONS = 3
-"""Waiting gangs that hold a reservation at once, so that several large jobs gather
+"""Waiting gangs that hold a reservation at once, so that several large jobs collect
 workers at the same time; more would leave nothing for small jobs."""
 
 DRAIN_AFTER_S = 1800.0
-"""Longest wait, in seconds, before a reservation drains. Until then short jobs
-fill the reserved workers; their estimates are wrong often enough that without
-a bound a large gang could be put off for ever."""
+"""Wait after which a reservation drains. Until then short jobs are backfilled on the
+reserved workers; their estimates are wrong often enough to delay a large gang without
+bound."""
 
 LARGE_GANG_FRACTION = 0.5
-"""A gang of at least this part of a worker's accelerators on each of two or more
-workers, or of a whole worker, counts as large."""
+"""A gang counts as large if its members each take a whole worker, or at least this
+fraction of one on two or more workers."""
 
 HEAD_START_S = 7200.0
-"""Seconds by which a large gang counts as older than it is. Small work starts in
-gaps anyway, a large gang only where all else makes way; the bound keeps a stream
-of large gangs from starving small jobs, which overtake it once they are older."""
+"""Seconds by which a large gang counts as older than it is. Small jobs start in gaps
+anyway, a large gang only on workers that others have left. As the bonus is fixed, a
+stream of large gangs can't starve small jobs, which overtake them once older."""
 
 PROTECT_AFTER_S = 300.0
-"""Wait, in seconds, after which owners' small jobs spare a large gang's workers."""
+"""Wait of a large gang after which owners' small jobs avoid its reserved workers."""
 
 PREEMPT_SMALL_AFTER_S = 300.0
-"""Wait, in seconds, after which small checkpointable borrowers make way for a large
-gang even if they have to queue again. They lose a restart and find a gap within
-minutes; the large gang else waits for whole workers that never come together."""
+"""Wait of a large gang after which small checkpointable borrowers are preempted for it
+even if they have to queue again. They lose a restart and find a gap within minutes;
+otherwise the large gang waits for whole workers that are never free together."""
 
 MAX_MOVES_IN_FLIGHT = 8
-"""Gangs being moved by checkpoint at once in a failure domain: each costs its
-job a restart, and more would make the cure dearer than fragmentation."""
+"""Gangs being moved by checkpoint at once in a failure domain: each move costs a
+restart, and more would cost more than the fragmentation that they remove."""
 
 MOVE_COST_S = 60.0
-"""Seconds that a move is taken to cost the moved gang, twice a restart, so that
-a move pays clearly or is left."""
+"""Assumed cost of a move to the moved gang: twice a restart, so that only moves with
+a clear gain are made."""
 
 
 @PLACEMENTS.register("fcfs")
 def place_fcfs(view: DomainView) -> list[Action]:
-    """Start jobs strictly in order; the first that does not fit stops all."""
+    """Start jobs strictly in order, up to the first that does not fit."""
     capacities = list_free_capacity(view.workers)
     placed = ((job, place_gang(job, capacities)) for job in order_queue(view))
     return [
@@ -75,7 +75,7 @@
 
 @PLACEMENTS.register("easy_backfill")
 def place_easy(view: DomainView) -> list[Action]:
-    """Backfill around a reservation for the head, trusting declared run times."""
+    """Backfill around a reservation for the first job, with declared run times."""
     estimator = ESTIMATORS.find("declared")
     assert estimator is not None
     backfiller = Backfiller(
@@ -89,13 +89,13 @@
 
 @PLACEMENTS.register("cells")
 def place_guaranteed_cells(view: DomainView) -> list[Action]:
-    """Give owners their cells, lend the rest, and reserve for large gangs."""
+    """Place owners' jobs in their cells, lend the rest, and reserve for large gangs."""
     return _place(view, reclaim="least_lost")
 
 
 @PLACEMENTS.register("youngest_first")
 def place_youngest_first(view: DomainView) -> list[Action]:
-    """Do as ``cells`` does, but evict the youngest borrowers on reclaim."""
+    """Place as ``cells`` does, but preempt the youngest borrowers on reclaim."""
     return _place(view, reclaim="youngest_first")
 
 
@@ -104,10 +104,10 @@
     assert chosen is not None and estimator is not None
     plan = PlacementPlan(view)
     ended = end_failing_jobs(view)
-    gone = {a.job for a in ended}
-    queue = [j for j in order_queue(view) if j.spec.id not in gone]
-    # Idle cells are taken to lie on the emptiest workers, where lasting work would
-    # do the most harm: there it breaks up whole workers, and is evicted first.
+    failed_jobs = {a.job for a in ended}
+    queue = [j for j in order_queue(view) if j.spec.id not in failed_jobs]
+    # Idle cells are assumed on the emptiest workers, where long-running work does the
+    # most harm: it fragments whole workers, and is preempted first on reclaim.
     idle = plan.pack(plan.count_held).placements
     lend_last = (
         n for s, placement in idle.items() if s.whole_workers for n, _ in placement
@@ -120,18 +120,18 @@
 
     waiting = (j for j in sort_borrowers(view, queue) if is_overdue(view, j))
     reserved = make_backfiller().reserve_for(waiting)
-    claims, owed = chosen(plan, queue, reserved, choose)
+    reclaims, handled = chosen(plan, queue, reserved, choose)
     backfiller = make_backfiller()
-    rest = sort_borrowers(view, (j for j in queue if j.spec.id not in owed))
-    placed = backfiller.run(rest)
-    evicted = {a.job for a in claims if isinstance(a, Preempt)}
-    moves = MovePlanner(plan, backfiller, evicted).list_moves(rest)
-    leaving = evicted | {a.job for a in moves if isinstance(a, Preempt)}
-    return [*ended, *claims, *placed, *moves, *move_mismatched(plan, leaving)]
+    borrowers = sort_borrowers(view, (j for j in queue if j.spec.id not in handled))
+    placed = backfiller.run(borrowers)
+    victims = {a.job for a in reclaims if isinstance(a, Preempt)}
+    moves = MovePlanner(plan, backfiller, victims).list_moves(borrowers)
+    leaving = victims | {a.job for a in moves if isinstance(a, Preempt)}
+    return [*ended, *reclaims, *placed, *moves, *move_mismatched(plan, leaving)]
 
 
 def end_failing_jobs(view: DomainView) -> list[Finish]:
-    """End jobs that failed on so many healthy workers that they are to blame."""
+    """End the jobs that failed on enough healthy workers to be at fault."""
     unusable = {w.name for w in view.workers if not w.usable}
     return [
         Finish(j.spec.id, "failed", f"failed on {len(j.avoid)} distinct workers")
@@ -141,10 +141,10 @@
 
 
 def sort_borrowers(view: DomainView, queue: Iterable[QueuedJob]) -> list[QueuedJob]:
-    """Return the jobs that borrow: most urgent first, then oldest, large ones ahead.
+    """Return borrowing jobs by urgency, then age, with a bonus for large ones.
 
-    A gang that was moved away comes back to the queue with its old age. Were it
-    ahead of the large gang it made way for, it would take its place again.
+    A preempted gang returns to the queue with its original age. Without the bonus it
+    could be ahead of the large gang it was preempted for, and take the place again.
     """
     worker_size = max((w.accelerators for w in view.workers), default=0)
 
@@ -157,7 +157,7 @@
 
 
 def is_large(job: QueuedJob, worker_size: int) -> bool:
-    """Return whether a gang needs whole workers, or most of several."""
+    """Return whether a gang needs whole workers, or large parts of several."""
     each = job.spec.accelerators
     several = (
         job.spec.members * each > worker_size
@@ -167,19 +167,19 @@
 
 
 def is_overdue(view: DomainView, job: QueuedJob) -> bool:
-    """Return whether a large gang has waited so long that others make way for it."""
+    """Return whether a large gang has waited for more than ``PROTECT_AFTER_S``."""
     worker_size = max((w.accelerators for w in view.workers), default=0)
     waited_s = view.now - job.submitted_at
     return waited_s > PROTECT_AFTER_S and is_large(job, worker_size)
 
 
 class MovePlanner:
-    """Moves by checkpoint that let a waiting large gang start.
+    """Plans moves by checkpoint and restart that let a waiting large gang start.
 
-    The load this is made for: enough accelerators are free, but spread over
-    workers that each run a little. A move pays when the accelerator seconds that
-    the waiting gang gains exceed what the moved gangs lose, and when there is
-    room for each of them elsewhere now; else it only changes who waits.
+    This handles fragmentation: enough accelerators are free, but spread over workers
+    that each run some small gangs. A move pays if the waiting gang gains more
+    accelerator seconds than the moved gangs lose, and if each of these fits elsewhere
+    now; otherwise it only changes which job waits.
     """
 
     def __init__(
@@ -193,7 +193,7 @@
         self._running = {g.spec.id for g in plan.view.running}
 
     def list_moves(self, queue: Sequence[QueuedJob]) -> list[Action]:
-        """Return the evictions for the first reservation that moves can serve."""
+        """Return the preemptions for the first reservation that moves can satisfy."""
         jobs = {j.spec.id: j for j in queue}
         for reservation in self._backfiller.reservations:
             gain_s = reservation.start_at - self._plan.view.now
@@ -242,7 +242,7 @@
     def _vacate(
         self, job: QueuedJob, group: Sequence[FreeCapacity]
     ) -> list[RunningJob] | None:
-        """Return who must leave so that the gang fits, or None."""
+        """Return the gangs to move so that the job fits in the group, or None."""
         spec = job.spec
         if spec.accelerators == 0:
             return None
@@ -295,11 +295,11 @@
 
 
 def move_mismatched(plan: PlacementPlan, leaving: set[str]) -> list[Action]:
-    """Move work off workers that its selector no longer allows.
+    """Preempt gangs on workers that their selector no longer allows.
 
-    Operators change selectors and labels while work runs. What can checkpoint is
-    moved, as soon as there is room where it may run now; all else runs to its
-    end where it is, for stopping it would lose work that was promised.
+    Operators change selectors and labels while work runs. Checkpointable gangs are
+    moved as soon as there is free capacity on allowed workers; others run to their end
+    where they are, as stopping them would lose work.
     """
     labels = {w.name: w.labels for w in plan.view.workers}
     capacities = [
--- a/src/firladder/_internal/policies/preemption.py
+++ b/src/firladder/_internal/policies/preemption.py
@@ -1,4 +1,4 @@
-"""Which work was lent room, what its eviction would lose, and whom to evict."""
+"""Choose the victims of preemption among borrowers by the work that they lose."""
 
 from collections.abc import Iterable
 
@@ -6,15 +6,15 @@
 from .placement import Preempt, QueuedJob, RunningJob
 
 RESTART_S = 30.0
-"""Seconds of a gang's time that a checkpoint and restart are taken to cost; what
-a checkpointable gang loses, so that it is evicted before one that cannot save."""
+"""Seconds of its run time that a checkpointable gang is assumed to lose when preempted,
+for checkpoint and restart; so it is preempted before one without checkpoints."""
 
 
 class VictimChooser:
-    """The borrowers of one placement pass, and those who must leave in it."""
+    """Chooses which borrowers to preempt in one placement pass."""
 
     def __init__(self, plan: PlacementPlan) -> None:
-        """Weigh what the eviction of each running gang would lose."""
+        """Compute the work that preempting each running gang would lose."""
         self.plan = plan
         self.victims: dict[str, Preempt] = {}
         self._guaranteed = plan.list_guaranteed()
@@ -25,15 +25,15 @@
         }
 
     def is_borrower(self, gang: RunningJob) -> bool:
-        """Return whether a gang may be evicted for an owner."""
+        """Return whether a gang runs outside guaranteed cells and may be preempted."""
         return gang.spec.id not in self._guaranteed
 
     def is_stopping(self, gang: RunningJob) -> bool:
-        """Return whether a gang is on its way out already."""
+        """Return whether a gang is stopping or already a victim of this pass."""
         return gang.stopping or gang.spec.id in self.victims
 
     def cost(self, worker: str) -> float:
-        """Return the work lost if all borrowers of a worker were evicted."""
+        """Return the work lost if all borrowers of a worker were preempted."""
         return sum(
             self._losses[g.spec.id]
             for g, _ in self.plan.worker_plans[worker].holds
@@ -54,7 +54,7 @@
     def _choose_victims(
         self, worker: str, job: QueuedJob, count: int
     ) -> list[RunningJob]:
-        """Return the borrowers to evict so that the members fit, cheapest first."""
+        """Return the borrowers to preempt so that the members fit, cheapest first."""
         worker_plan, spec = self.plan.worker_plans[worker], job.spec
         leaving = [(g, n) for g, n in worker_plan.holds if self.is_stopping(g)]
         accelerators = (
@@ -67,12 +67,12 @@
         memory = (
             count * spec.memory_mb - worker_plan.room.memory_mb - _sum_memory(leaving)
         )
-        lent: dict[str, tuple[RunningJob, int]] = {}
+        borrowers: dict[str, tuple[RunningJob, int]] = {}
         for gang, held in worker_plan.holds:
             if self.is_borrower(gang) and not self.is_stopping(gang):
-                known = lent.get(gang.spec.id, (gang, 0))[1]
-                lent[gang.spec.id] = (gang, known + held)
-        ordered = sorted(lent.values(), key=lambda item: self._rank_victim(*item))
+                known = borrowers.get(gang.spec.id, (gang, 0))[1]
+                borrowers[gang.spec.id] = (gang, known + held)
+        ordered = sorted(borrowers.values(), key=lambda item: self._rank_victim(*item))
         chosen: list[RunningJob] = []
         for gang, held in ordered:
             if accelerators <= 0 and cpus <= 0 and memory <= 0:
@@ -91,7 +91,7 @@
 
 
 def count_loss(gang: RunningJob, now: float) -> float:
-    """Return the accelerator seconds of work that an eviction would throw away."""
+    """Return the accelerator seconds of work that a preemption would lose."""
     held = sum(max(1, len(m.accelerators)) for m in gang.members)
     ran_s = max(0.0, now - gang.started_at)
     return held * (min(RESTART_S, ran_s) if gang.spec.checkpointable else ran_s)
--- a/src/firladder/_internal/policies/reclaim.py
+++ b/src/firladder/_internal/policies/reclaim.py
@@ -1,8 +1,7 @@
-"""Give an organisation its guaranteed cell at once, evicting borrowers if need be.
+"""Reclaim an organisation's guaranteed cell, preempting borrowers if necessary.
 
-The load this is made for: other organisations' work fills the fleet and the
-owner's gang arrives. Reclaim never waits for a borrower to end, and never
-touches a gang that runs in a guaranteed cell.
+When an owner's gang arrives while other organisations' work fills the fleet, reclaim
+never waits for a borrower to end, and never preempts a gang in a guaranteed cell.
 """
 
 import dataclasses
@@ -17,23 +16,23 @@
 from .preemption import VictimChooser
 
 NEW_JOB_S = 2.0
-"""Seconds for which a job counts as just come: a few placement passes."""
+"""Seconds for which a job counts as newly submitted: a few placement passes."""
 
 MAX_CANDIDATES = 16
-"""Places tried for one cell at most. The first almost always serves; the packing
-itself names one that does, and is tried last."""
+"""Candidates tried for one cell. The first one almost always allows the other cells
+to be packed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """Workers on which a gang would start, with the members on each."""
+    """A possible placement of a gang in a slot: the number of members by worker."""
 
     slot: CellSlot
     members: tuple[tuple[str, int], ...]
 
 
 class Reclaimer(VictimChooser):
-    """Claims of one placement pass, in the order of the queue."""
+    """Reclaims cells for the jobs of one placement pass, in queue order."""
 
     def __init__(
         self,
@@ -42,7 +41,7 @@
         reserved: frozenset[str],
         choose: Chooser,
     ) -> None:
-        """Plan for the jobs in ``queue``, sparing workers kept for a large gang."""
+        """Plan for the jobs in ``queue``; avoid workers reserved for large gangs."""
         super().__init__(plan)
         self._reserved = reserved
         self._choose = choose
@@ -55,10 +54,10 @@
         return 0 < size <= job.spec.accelerators
 
     def claim(self, job: QueuedJob) -> list[Action] | None:
-        """Return what starts the job in its organisation's shape, or None.
+        """Return the actions to start the job in a cell, or None if it gets none.
 
-        An empty list says that the cell is being vacated: its room is held back
-        from everybody else until the evicted gangs are gone.
+        An empty list means that the cell is being vacated: its capacity is withheld
+        from other jobs until the victims have stopped.
         """
         if job.spec.accelerators == 0:
             return None
@@ -73,11 +72,11 @@
         return actions
 
     def _start_in_free_capacity(self, job: QueuedJob) -> list[Action]:
-        """Start a small job that has just come in the tightest idle room, if any.
+        """Start a newly submitted small job in free capacity, outside the cells.
 
-        That leaves cells of whole workers whole. A job that was evicted, or found
-        no room, is older by now and takes a cell, which nobody takes from it:
-        else owners' small jobs would evict each other without end.
+        This keeps cells of whole workers unfragmented. A job that was preempted, or did
+        not fit, is older by then and gets a cell, in which it can't be preempted:
+        otherwise owners' small jobs would preempt each other without end.
         """
         if self.plan.view.now - job.submitted_at > NEW_JOB_S:
             return []
@@ -90,15 +89,15 @@
         return [Place(job.spec.id, members)]
 
     def _awaits_whole_workers(self, slot: CellSlot) -> bool:
-        """Return whether a large job of the owner waits for a cell of whole workers."""
+        """Return whether a large job of the slot's owner waits for whole workers."""
         return slot.organisation in self._owners_awaiting_whole_workers
 
     def _is_suitable(self, slot: CellSlot, job: QueuedJob) -> bool:
-        """Return whether a slot is meant for such a job.
+        """Return whether the size of the job suits the slot.
 
-        A small job takes a cell of whole workers last, and not while a large job
-        of its organisation waits: small ones would follow each other into the
-        cell, and the large one would wait for ever for work that nobody evicts.
+        A small job takes a cell of whole workers last, and not while a large job of
+        its organisation waits: successive small jobs could occupy the cell without
+        end, and a large job can't preempt them there.
         """
         return not slot.whole_workers or self._is_large(job)
 
@@ -114,9 +113,9 @@
         return None
 
     def _list_usable_slots(self, job: QueuedJob) -> list[CellSlot]:
-        """Return slots with room, smallest first; of equal ones those in use first.
+        """Return slots that are large enough: smallest first, then those in use.
 
-        Of equal idle slots only one is returned, as any would do.
+        Of idle slots of the same size only one is returned, as they are equivalent.
         """
         wanted = job.spec.members * job.spec.accelerators
         missing = {n.slot for n in self.plan.packing.missing}
@@ -144,7 +143,7 @@
         )
 
     def _list_candidates(self, job: QueuedJob, slot: CellSlot) -> Iterable[Candidate]:
-        """Return the places for the job in the slot, the cheapest first."""
+        """Return the candidates for the job in the slot, cheapest first."""
         if slot.whole_workers:
             return self._list_whole_worker_candidates(job, slot)
         return self._list_part_worker_candidates(job, slot)
@@ -173,12 +172,12 @@
         return (Candidate(slot, ((n, spec.members),)) for n in ordered)
 
     def _rank_tied(self, worker: str, job: QueuedJob) -> tuple[bool, bool]:
-        """Rank workers on which the same work would be lost.
+        """Rank workers on which the same amount of work would be lost.
 
-        First those that are being vacated for this very job: were the choice
-        made afresh in every pass, the owner could be sent from one half-vacated
-        place to the next and start late. Last those kept for a waiting large
-        gang, which owners' small jobs would else put off for ever.
+        Workers that are being vacated for this job come first: otherwise each pass
+        could choose others, and the owner would start late. Workers reserved for a
+        waiting large gang come last for small jobs, which could otherwise delay it
+        without bound.
         """
         holds = self.plan.worker_plans[worker].holds
         coming = any(g.preempted_for == job.spec.id for g, _ in holds)
@@ -220,7 +219,7 @@
     def _list_member_capacity(
         self, job: QueuedJob, slot: CellSlot, rack: str
     ) -> list[tuple[str, int]]:
-        """Return the workers of a rack that the slot has or may take."""
+        """Return the members that fit on each worker that the slot has or may take."""
         plan, bound = self.plan, self.plan.bound.get(slot)
         if bound is not None and bound.rack != rack:
             return []
@@ -244,7 +243,7 @@
     def _plan_rack(
         self, job: QueuedJob, slot: CellSlot, rack: str
     ) -> Iterable[tuple[float, Candidate]]:
-        """Choose workers of one rack, each next one the cheapest by then."""
+        """Choose workers of one rack greedily, each time the cheapest."""
         bound = self.plan.bound.get(slot)
         used = bound.used if bound is not None else {}
         left = job.spec.members
@@ -279,7 +278,7 @@
         yield cost, Candidate(slot, tuple(sorted(chosen)))
 
     def _try_bind(self, candidate: Candidate, job: QueuedJob) -> bool:
-        """Bind the slot there, unless another unused cell would lose its place."""
+        """Bind the slot to the candidate unless another unused cell no longer fits."""
         plan, slot = self.plan, candidate.slot
         before = len(plan.packing.missing)
         saved, old = dict(plan.capacity), plan.bound.get(slot)
@@ -299,7 +298,7 @@
         return False
 
     def _start_or_preempt(self, candidate: Candidate, job: QueuedJob) -> list[Action]:
-        """Take the room if it is free, else evict those who hold it."""
+        """Start the job if the capacity is free; otherwise preempt its holders."""
         worker_plans = self.plan.worker_plans
         ready = all(
             worker_plans[n].room.count_members(job.spec) >= count
@@ -335,8 +334,8 @@
         )
 
     def _withhold(self, worker: str, job: QueuedJob, count: int) -> None:
-        # Room that comes free must not go to the next borrower in the queue:
-        # the owner would evict again in every pass and never start.
+        # Capacity that becomes free must not go to the next borrower in the queue:
+        # the owner would preempt again in every pass and never start.
         free_capacity = self.plan.worker_plans[worker].room
         wanted = count * job.spec.accelerators
         free = min(wanted, len(free_capacity.free))
--- a/src/firladder/_internal/policies/reclaim_policies.py
+++ b/src/firladder/_internal/policies/reclaim_policies.py
@@ -1,4 +1,4 @@
-"""The registered ways to reclaim: the product's own, and a baseline."""
+"""The registered reclaim policies: the default one and a baseline."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -18,14 +18,14 @@
 
 
 class YoungestFirstReclaimer(Reclaimer):
-    """The baseline: evict the youngest borrowers, one by one, until a place is vacant.
+    """Preempts the youngest borrowers until the owner's job fits (baseline).
 
-    It looks at nothing but the time of start, so that gangs go which stand
-    nowhere near the place that the owner gets.
+    It considers start times alone, so it also preempts gangs on workers that the owner
+    does not get.
     """
 
     def _list_candidates(self, job: QueuedJob, slot: CellSlot) -> Iterable[Candidate]:
-        lent = sorted(
+        borrowers = sorted(
             (
                 g
                 for g in self.plan.view.running
@@ -33,7 +33,7 @@
             ),
             key=lambda g: -g.started_at,
         )
-        ages = {g.spec.id: rank for rank, g in enumerate(lent)}
+        ranks = {g.spec.id: rank for rank, g in enumerate(borrowers)}
 
         def find_oldest_victim(candidate: Candidate) -> int:
             victims = (
@@ -41,7 +41,7 @@
                 for name, count in candidate.members
                 for g in self._choose_victims(name, job, count)
             )
-            return max((ages[g.spec.id] for g in victims), default=-1)
+            return max((ranks[g.spec.id] for g in victims), default=-1)
 
         return sorted(super()._list_candidates(job, slot), key=find_oldest_victim)
 
@@ -70,7 +70,7 @@
     reserved: frozenset[str],
     choose: Chooser,
 ) -> tuple[list[Action], set[str]]:
-    """Start owners' jobs in their cells, evicting where the least work is lost."""
+    """Start owners' jobs in their cells, preempting where the least work is lost."""
     return _reclaim(Reclaimer(plan, queue, reserved, choose), queue)
 
 
@@ -81,14 +81,14 @@
     reserved: frozenset[str],
     choose: Chooser,
 ) -> tuple[list[Action], set[str]]:
-    """Start owners' jobs in their cells, evicting the youngest borrowers first."""
+    """Start owners' jobs in their cells, preempting the youngest borrowers first."""
     return _reclaim(YoungestFirstReclaimer(plan, queue, reserved, choose), queue)
 
 
 def _reclaim(
     reclaimer: Reclaimer, queue: Sequence[QueuedJob]
 ) -> tuple[list[Action], set[str]]:
-    claims = {j.spec.id: reclaimer.claim(j) for j in queue}
-    placed = [a for actions in claims.values() for a in actions or ()]
-    owed = {job for job, actions in claims.items() if actions is not None}
-    return [*placed, *reclaimer.victims.values()], owed
+    reclaims = {j.spec.id: reclaimer.claim(j) for j in queue}
+    placed = [a for actions in reclaims.values() for a in actions or ()]
+    handled = {job for job, actions in reclaims.items() if actions is not None}
+    return [*placed, *reclaimer.victims.values()], handled
--- a/src/firladder/_internal/policies/registry.py
+++ b/src/firladder/_internal/policies/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill, for behaviour that varies."""
+"""Registries of named, interchangeable implementations, filled by decorators."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -7,10 +7,10 @@
 
 
 class Registry(Generic[T]):
-    """Named implementations of one decision."""
+    """Named implementations of one policy."""
 
     def __init__(self, subject: str) -> None:
-        """Name what the implementations decide."""
+        """Create an empty registry; ``subject`` names it in errors."""
         self._subject = subject
         self._entries: dict[str, T] = {}
 
--- a/src/firladder/_internal/policies/selectors.py
+++ b/src/firladder/_internal/policies/selectors.py
@@ -1,4 +1,4 @@
-"""Selectors over labels: parse them, match them, and find the rule for work.
+"""Parse and match label selectors, and find the operators' rule for work.
 
 The grammar is comma-separated terms, all of which must hold: ``key=value``,
 ``key!=value``, ``key in (a, b)``, ``key notin (a, b)``, ``key`` and ``!key``.
@@ -33,7 +33,7 @@
     values: frozenset[str] = frozenset()
 
     def match(self, labels: Mapping[str, str]) -> bool:
-        """Return whether the labels fulfil the condition."""
+        """Return whether the labels satisfy the condition."""
         found = labels.get(self.key)
         if self.operator == "exists":
             return found is not None
@@ -51,13 +51,13 @@
     terms: tuple[Term, ...] = ()
 
     def match(self, labels: Mapping[str, str]) -> bool:
-        """Return whether the labels fulfil every condition."""
+        """Return whether the labels satisfy every condition."""
         return all(term.match(labels) for term in self.terms)
 
 
 @functools.lru_cache(maxsize=4096)
 def parse_selector(text: str) -> Selector | InvalidValue:
-    """Return the selector, or where its text does not parse."""
+    """Return the parsed selector, or a failure with the position of the error."""
     terms: list[Term] = []
     position = 0
     while position < len(text):
@@ -93,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Steering:
-    """What the operators' rules say of one piece of work."""
+    """Organisation, urgency and selectors of one job or request by the rules."""
 
     organisation: str
     urgency: Urgency
@@ -137,6 +137,6 @@
 def collect_labels(
     configuration: Configuration, kind: str, name: str, own: Mapping[str, str]
 ) -> dict[str, str]:
-    """Return a machine's own labels with the operators' laid over them."""
+    """Return a machine's own labels, overridden by the operators' labels."""
     added = configuration.labels.get(f"{kind}.{name}")
     return {**own, **(added.values if added else {}), "name": name}
