--- a/features/steps/jobs_guarantee_steps.py
+++ b/features/steps/jobs_guarantee_steps.py
@@ -26,7 +26,7 @@
 
 
 class GuaranteeCheck:
-    """The invariant, on the pure policy: any idle cell can be claimed at once."""
+    """Checks on the policy alone that any idle cell can be claimed at once."""
 
     def __init__(self) -> None:
         self.examples = 0
@@ -71,8 +71,8 @@
     def probe(self, world: World) -> None:
         for name, size in world.list_idle_cells():
             self.probes += 1
-            evicted = world.claim(name, size)
-            assert all(not gang.cell for gang in evicted), (name, size, evicted)
+            victims = world.claim(name, size)
+            assert all(not gang.cell for gang in victims), (name, size, victims)
 
 
 @when("random jobs of organisations with random shapes come and go")
@@ -81,7 +81,7 @@
     context.check.run()
 
 
-@then("every idle cell could be claimed at every moment by evicting borrowers alone")
+@then("every idle cell could be claimed at every moment by preempting borrowers alone")
 def check_probes(context):
     assert context.check.examples >= 20, context.check.examples
     assert context.check.probes >= 200, context.check.probes
--- a/features/steps/jobs_reclaim_steps.py
+++ b/features/steps/jobs_reclaim_steps.py
@@ -11,7 +11,7 @@
 
 
 class ReclaimCheck:
-    """An owner with a cell of two whole workers, and borrowers on all three."""
+    """An owner with a cell of two whole workers, and borrowers on all three workers."""
 
     def __init__(self, context) -> None:
         layout = Layout(
@@ -59,8 +59,8 @@
     def count_running(self) -> int:
         return sum(self.find_state(job) == "running" for job in self.borrowers)
 
-    def is_stopping(self) -> bool:
-        """Tell whether a stop has come to a worker whose task ignores it."""
+    def has_ordered_stop(self) -> bool:
+        """Return whether the leader has ordered a stop for the owner's reclaim."""
         leader = self.site.wait_leader(DOMAIN)["leader"]
         events = call(self.site.addresses[f"{leader}/scheduler"], "GET", "/v1/events")
         return "reclaimed by kraftwerk" in str(events[1])
@@ -86,10 +86,10 @@
     context.owner = context.reclaim.submit("kraftwerk", 2, 6)
 
 
-@when("the leader is killed while it evicts for the owner")
+@when("the leader is killed while it preempts for the owner")
 def kill_leader(context):
     check = context.reclaim
-    wait_for(check.is_stopping, 10, "an eviction for the owner")
+    wait_for(check.has_ordered_stop, 10, "a preemption for the owner")
     assert check.find_state(context.owner) == "queued"
     leader = check.site.wait_leader(DOMAIN)["leader"]
     check.site.child(f"{leader}/scheduler").kill()
--- a/features/steps/requests_load_steps.py
+++ b/features/steps/requests_load_steps.py
@@ -17,8 +17,8 @@
 SEEDS = (1,)
 
 
-class Bars:
-    """The bars, each as a function of the policies."""
+class Measures:
+    """Measures that the bounds apply to, as functions of the policies."""
 
     @staticmethod
     def compare_tails(policies, load, other, urgency):
@@ -39,8 +39,10 @@
     'times that under "{other}"'
 )
 def check_urgent_tail(context, load, factor, other):
-    context.bar = lambda p: Bars.compare_tails(p, load, other, "urgent") <= factor
-    ratio = Bars.compare_tails("firladder", load, other, "urgent")
+    context.meets_bound = lambda p: (
+        Measures.compare_tails(p, load, other, "urgent") <= factor
+    )
+    ratio = Measures.compare_tails("firladder", load, other, "urgent")
     assert ratio <= factor, ratio
 
 
@@ -49,22 +51,26 @@
     'times that under "{other}"'
 )
 def check_tail(context, load, factor, other):
-    context.bar = lambda p: Bars.compare_tails(p, load, other, "normal") <= factor
-    ratio = Bars.compare_tails("firladder", load, other, "normal")
+    context.meets_bound = lambda p: (
+        Measures.compare_tails(p, load, other, "normal") <= factor
+    )
+    ratio = Measures.compare_tails("firladder", load, other, "normal")
     assert ratio <= factor, ratio
 
 
 @then('goodput under "{load}" is at least {percent:d}% of that under "{other}"')
 def check_goodput(context, load, percent, other):
-    context.bar = lambda p: Bars.compare_goodput(p, load, other) >= percent / 100
-    ratio = Bars.compare_goodput("firladder", load, other)
+    context.meets_bound = lambda p: (
+        Measures.compare_goodput(p, load, other) >= percent / 100
+    )
+    ratio = Measures.compare_goodput("firladder", load, other)
     assert ratio >= percent / 100, ratio
 
 
 @then('with the "{policies}" policies it has not')
 @then('with the "{policies}" policies it is not')
 def check_baseline(context, policies):
-    assert not context.bar(policies)
+    assert not context.meets_bound(policies)
 
 
 @then('organisation "{name}" is served in time at {percent:d}% under "{load}"')
@@ -107,7 +113,7 @@
 def refuse_many(context, count):
     queues = ServiceQueues(find_policies(), queue_limit=10)
     rng = random.Random(1)
-    context.back_s = []
+    context.retry_after_times = []
     for number in range(count + 10):
         req = WaitingRequest(str(number), "kraftwerk", "urgent", 0.0, 100.0)
         failure = queues.admit(
@@ -116,14 +122,14 @@
         if failure is None:
             queues.push(req, Selector())
         else:
-            context.back_s.append(failure.retry_after_s)
+            context.retry_after_times.append(failure.retry_after_s)
 
 
-@then("their times to come back spread over at least the time they take to run")
+@then("their times to retry spread over at least the time they take to run")
 def check_spread(context):
-    assert len(context.back_s) == 1000
-    run_s = len(context.back_s) * 0.2 / 10
-    times = sorted(context.back_s)
+    assert len(context.retry_after_times) == 1000
+    run_s = len(context.retry_after_times) * 0.2 / 10
+    times = sorted(context.retry_after_times)
     assert times[-1] - times[0] >= run_s, (times[0], times[-1], run_s)
     busiest = max(sum(t <= x < t + 1 for x in times) for t in range(int(times[-1])))
     assert busiest <= 3 * len(times) / run_s, busiest
@@ -150,8 +156,8 @@
     for target, demands, shares in context.shares:
         totals = {g: totals.get(g, 0) * (target > 0) + n for g, n in shares.items()}
         if target == 23:
-            poor = [g for g, d in demands.items() if d and not totals[g]]
-            assert not poor, (demands, totals)
+            without_share = [g for g, d in demands.items() if d and not totals[g]]
+            assert not without_share, (demands, totals)
 
 
 @when("each of {count:d} requests fails at every send")
--- a/features/steps/requests_memory_steps.py
+++ b/features/steps/requests_memory_steps.py
@@ -21,7 +21,7 @@
 
 
 class FakeStore:
-    """A key-value service in memory that may answer nothing."""
+    """An in-memory key-value store that can apply calls without answering."""
 
     def __init__(self):
         self.data = {}
@@ -41,7 +41,7 @@
 
 
 class OwnershipTable:
-    """Owners and answers of one gateway, with a clock that is set."""
+    """Owners and answers of one gateway, with a fake clock."""
 
     def __init__(self, kept):
         self.store = FakeStore()
@@ -138,7 +138,7 @@
 
 
 @when('{passed_s:d} s pass and another gateway takes the id "{request_id}"')
-def lapse(context, passed_s, request_id):
+def pass_claim_to_other(context, passed_s, request_id):
     context.ids.now += passed_s
     context.ids.store.data.clear()
     other = context.ids._make("other")
--- a/features/support/jobs_world.py
+++ b/features/support/jobs_world.py
@@ -1,4 +1,4 @@
-"""A failure domain without sockets, in which evictions take effect at once."""
+"""A simulated failure domain in which preemptions take effect at once."""
 
 import itertools
 
@@ -15,7 +15,7 @@
 from firladder._internal.policies.placement_catalogue import PLACEMENTS
 from firladder._internal.policies.selectors import Selector
 
-MOST_PASSES = 12
+MAX_PASSES = 12
 
 
 def make_machines(*, racks: int, workers: int) -> list[Machine]:
@@ -101,9 +101,9 @@
         )
 
     def act(self, actions) -> list[RunningJob]:
-        """Carry actions out and return the gangs that were evicted."""
-        evicted = [self.running.pop(a.job) for a in actions if isinstance(a, Preempt)]
-        for gang in evicted:
+        """Apply the actions and return the preempted gangs."""
+        victims = [self.running.pop(a.job) for a in actions if isinstance(a, Preempt)]
+        for gang in victims:
             self.queue[gang.spec.id] = QueuedJob(
                 gang.spec, gang.organisation, gang.urgency, gang.workers, self.now
             )
@@ -119,10 +119,10 @@
                     cell=action.cell,
                     workers=job.workers,
                 )
-        return evicted
+        return victims
 
     def settle(self) -> None:
-        for _ in range(MOST_PASSES):
+        for _ in range(MAX_PASSES):
             self.now += 10.0
             actions = self.policy(self.view())
             if not actions:
@@ -134,7 +134,7 @@
         self.now += 1.0
 
     def list_idle_cells(self) -> list[tuple[str, int]]:
-        """Return the cells that no running gang is in, by the shapes alone."""
+        """Return the cells without a running gang, from the shapes alone."""
         used = {(g.organisation, g.cell) for g in self.running.values() if g.cell}
         idle = []
         for name, organisation in self.organisations.items():
@@ -145,7 +145,7 @@
         return idle
 
     def claim(self, organisation: str, size: int) -> list[RunningJob]:
-        """Submit a job of a whole cell; return who was evicted for it to start."""
+        """Submit a job as large as the cell; return the gangs preempted for it."""
         members = max(1, -(-size // 8))
         kept = dict(self.queue), dict(self.running)
         self.queue = {}
@@ -153,9 +153,9 @@
             organisation, members=members, accelerators=min(size, 8), urgency="urgent"
         )
         wanted = self.queue[job]
-        evicted = self.act(self.policy(self.view([wanted])))
+        victims = self.act(self.policy(self.view([wanted])))
         if job not in self.running:
             self.act(self.policy(self.view([wanted])))
         assert job in self.running, f"{organisation} did not get a cell of {size}"
         self.queue, self.running = kept
-        return evicted
+        return victims
--- a/features/support/request_load.py
+++ b/features/support/request_load.py
@@ -1,4 +1,4 @@
-"""Callers who ask without a pause, over connections that they keep."""
+"""Callers that send requests without pause over persistent connections."""
 
 import http.client
 import itertools
@@ -10,7 +10,7 @@
 
 
 class SteadyLoad:
-    """A few callers at every gateway; those refused go to the next one."""
+    """Two callers per gateway; on a refused connection they use the next gateway."""
 
     def __init__(self, desk: RequestSite, **fields: Any) -> None:
         self.desk = desk
@@ -45,7 +45,7 @@
         connection.close()
 
     def _ask(self, connection: http.client.HTTPConnection, request: Any) -> bool:
-        """Tell whether the request was taken; note whatever went wrong."""
+        """Return whether the connection was accepted; record any problem."""
         path = f"/v1/services/{self.desk.site.layout.service}/requests"
         try:
             connection.request("POST", path, body=json.dumps(request))
