--- a/src/firladder/_internal/policies/backfill.py
+++ b/src/firladder/_internal/policies/backfill.py
@@ -136,9 +136,9 @@
         if kind in self._unplaceable:
             return None
         capacities = [
-            b.room
-            for n, b in self.plan.worker_plans.items()
-            if b.view.usable and n not in closed
+            wp.room
+            for n, wp in self.plan.worker_plans.items()
+            if wp.view.usable and n not in closed
         ]
         members = self._choose(job, capacities)
         if members is None:
@@ -151,12 +151,12 @@
         self._attempts += 1
         taken = {w for r in self.reservations for w in r.workers}
         capacities = [
-            b.room
-            for n, b in self.plan.worker_plans.items()
-            if b.view.usable
+            wp.room
+            for n, wp in self.plan.worker_plans.items()
+            if wp.view.usable
             and n not in taken
             and n not in job.avoid
-            and job.workers.match(b.view.labels)
+            and job.workers.match(wp.view.labels)
         ]
         plans = (
             self._find_group_start(job.spec, g)
@@ -179,16 +179,16 @@
         self, spec: JobSpec, group: Sequence[FreeCapacity]
     ) -> tuple[float, tuple[str, ...]] | None:
         """Return the earliest start of the gang in the group, and its workers."""
-        most = max((_count_members_when_empty(spec, r) for r in group), default=0)
+        most = max((_count_members_when_empty(spec, c) for c in group), default=0)
         if most == 0:
             return None
         each = min(most, spec.members)
         times = sorted(
             (
-                self._find_start(self.plan.worker_plans[r.view.name], spec, each),
-                r.view.name,
+                self._find_start(self.plan.worker_plans[c.view.name], spec, each),
+                c.view.name,
             )
-            for r in group
+            for c in group
         )
         needed = -(-spec.members // each)
         if len(times) < needed:
@@ -269,19 +269,19 @@
     ) -> tuple[Member, ...] | None:
         """Return the gang's members in the tightest placement, or None."""
         allowed = [
-            r
-            for r in capacities
-            if r.view.name not in job.avoid and job.workers.match(r.view.labels)
+            c
+            for c in capacities
+            if c.view.name not in job.avoid and job.workers.match(c.view.labels)
         ]
-        counted = [(r, r.count_members(job.spec)) for r in allowed]
-        single = [r for r, count in counted if count >= job.spec.members]
+        counted = [(c, c.count_members(job.spec)) for c in allowed]
+        single = [c for c, count in counted if count >= job.spec.members]
         if single:
             return _assign_members(
-                job.spec, [min(single, key=lambda r: self._rank(job, r))]
+                job.spec, [min(single, key=lambda c: self._rank(job, c))]
             )
         if job.spec.adjacency == "worker":
             return None
-        return self._choose_group(job, [r for r, count in counted if count])
+        return self._choose_group(job, [c for c, count in counted if count])
 
     def _rank(self, job: QueuedJob, capacity: FreeCapacity) -> tuple[bool, int, str]:
         lent = capacity.view.name in self._lend_last and not job.spec.checkpointable
@@ -293,11 +293,11 @@
         spec = job.spec
         plans = []
         for group in group_by_adjacency(spec, capacities):
-            if sum(r.count_members(spec) for r in group) < spec.members:
+            if sum(c.count_members(spec) for c in group) < spec.members:
                 continue
-            free = sum(len(r.free) for r in group)
+            free = sum(len(c.free) for c in group)
             ordered = sorted(
-                group, key=lambda r: (-r.count_members(spec), self._rank(job, r))
+                group, key=lambda c: (-c.count_members(spec), self._rank(job, c))
             )
             plans.append((free, group[0].view.rack, ordered))
         if not plans:
--- a/src/firladder/_internal/policies/cells.py
+++ b/src/firladder/_internal/policies/cells.py
@@ -68,9 +68,9 @@
         self.view = view
         self.worker_plans = _plan_workers(view)
         self.bins = {
-            b.view.name: Bin(b.view.name, b.view.rack, b.view.accelerators)
-            for b in self.worker_plans.values()
-            if b.view.usable
+            wp.view.name: Bin(wp.view.name, wp.view.rack, wp.view.accelerators)
+            for wp in self.worker_plans.values()
+            if wp.view.usable
         }
         everywhere = [
             Bin(w.name, w.rack, w.accelerators) for w in view.workers if w.accelerators
--- a/src/firladder/_internal/policies/dispatching.py
+++ b/src/firladder/_internal/policies/dispatching.py
@@ -170,9 +170,8 @@
             sends.append((req, target))
             drained = not self._queues[selector]
             self._count_removed(req, selector)
-            del unblocked[
-                selector
-            ]  # moved to the end, so that queues of equal rank take turns
+            # Moved to the end, so that queues of equal rank take turns.
+            del unblocked[selector]
             if not drained:
                 unblocked[selector] = None
         return sends
--- a/src/firladder/_internal/policies/membership.py
+++ b/src/firladder/_internal/policies/membership.py
@@ -87,17 +87,17 @@
     alive = dataclasses.replace(view, peers=tuple(p for p in view.peers if not p.lost))
     close, others, far = alive.split()
     due = view.now - FRESH_FRACTION * view.period_s
-    greeted = {p.address for p in close if p.heard_at < due}
+    due_peers = {p.address for p in close if p.heard_at < due}
     # In strict rotation: with a random choice, a live peer may not be contacted for
     # longer than the time after which it counts as lost.
-    turns = sorted(others, key=lambda p: p.contacted_at)[:NEAR_FANOUT]
+    near_contacts = sorted(others, key=lambda p: p.contacted_at)[:NEAR_FANOUT]
     domains = sorted(far, key=lambda group: max(p.asked_at for p in group))
-    visits = (min(g, key=lambda p: p.contacted_at) for g in domains[:FAR_FANOUT])
+    far_contacts = (min(g, key=lambda p: p.contacted_at) for g in domains[:FAR_FANOUT])
     # Lost peers and unknown addresses are retried: after a network partition heals,
     # no other process may report that they are back.
     lost = [p.address for p in view.peers if p.lost]
     retried = _sample(lost, rng) | _sample(sorted(unknown_addresses), rng)
-    return greeted | {p.address for p in (*turns, *visits)} | retried
+    return due_peers | {p.address for p in (*near_contacts, *far_contacts)} | retried
 
 
 def _sample(addresses: list[str], rng: random.Random) -> set[str]:
@@ -107,20 +107,28 @@
 def find_lost(view: FleetView) -> set[str]:
     """Return the peers that have not been heard for too long."""
     close, others, far = view.split()
-    turn = max(1, math.ceil(len(others) / NEAR_FANOUT))
+    near_rotation_periods = max(1, math.ceil(len(others) / NEAR_FANOUT))
     silent = {p.address for p in close if _is_silent(view, p.heard_at, 1)}
-    silent |= {p.address for p in others if _is_silent(view, p.heard_at, turn)}
-    visit = max(1, math.ceil(len(far) / FAR_FANOUT))
-    return silent.union(*(_find_lost_far(view, group, visit) for group in far))
-
-
-def _find_lost_far(view: FleetView, group: list[PeerView], visit: int) -> Iterable[str]:
+    silent |= {
+        p.address for p in others if _is_silent(view, p.heard_at, near_rotation_periods)
+    }
+    domain_rotation_periods = max(1, math.ceil(len(far) / FAR_FANOUT))
+    return silent.union(
+        *(_find_lost_far(view, group, domain_rotation_periods) for group in far)
+    )
+
+
+def _find_lost_far(
+    view: FleetView, group: list[PeerView], domain_rotation_periods: int
+) -> Iterable[str]:
     # One peer of a large failure domain is contacted rarely, so a partition shows
     # much sooner by the silence of the whole domain.
-    if _is_silent(view, max(p.heard_at for p in group), visit):
+    if _is_silent(view, max(p.heard_at for p in group), domain_rotation_periods):
         return {p.address for p in group}
-    turn = visit * len(group)
-    return {p.address for p in group if _is_silent(view, p.heard_at, turn)}
+    peer_rotation_periods = domain_rotation_periods * len(group)
+    return {
+        p.address for p in group if _is_silent(view, p.heard_at, peer_rotation_periods)
+    }
 
 
 def _is_silent(view: FleetView, heard_at: float, periods: int) -> bool:
--- a/src/firladder/_internal/policies/placement.py
+++ b/src/firladder/_internal/policies/placement.py
@@ -167,11 +167,11 @@
     spec: JobSpec, capacities: Iterable[FreeCapacity]
 ) -> list[list[FreeCapacity]]:
     """Return the groups of workers of which one must hold all members."""
-    ordered = sorted(capacities, key=lambda r: (r.view.rack, r.view.name))
+    ordered = sorted(capacities, key=lambda c: (c.view.rack, c.view.name))
     if spec.adjacency == "worker":
         return [[capacity] for capacity in ordered]
     if spec.adjacency == "rack":
-        by_rack = itertools.groupby(ordered, key=lambda r: r.view.rack)
+        by_rack = itertools.groupby(ordered, key=lambda c: c.view.rack)
         return [list(group) for _, group in by_rack]
     return [ordered]
 
@@ -181,9 +181,9 @@
 ) -> tuple[Member, ...] | None:
     """Take capacity for all members in the first group that holds them, if any."""
     allowed = [
-        r
-        for r in capacities
-        if r.view.name not in job.avoid and job.workers.match(r.view.labels)
+        c
+        for c in capacities
+        if c.view.name not in job.avoid and job.workers.match(c.view.labels)
     ]
     for group in group_by_adjacency(job.spec, allowed):
         counts = [(capacity, capacity.count_members(job.spec)) for capacity in group]
--- a/src/firladder/_internal/policies/placement_policies.py
+++ b/src/firladder/_internal/policies/placement_policies.py
@@ -208,17 +208,17 @@
     def _choose_moves(self, job: QueuedJob, gain_s: float) -> list[RunningJob]:
         spec = job.spec
         capacities = [
-            b.room
-            for n, b in self._plan.worker_plans.items()
-            if b.view.usable
+            wp.room
+            for n, wp in self._plan.worker_plans.items()
+            if wp.view.usable
             and n not in job.avoid
-            and job.workers.match(b.view.labels)
+            and job.workers.match(wp.view.labels)
             and self._can_vacate(n)
         ]
         gain = gain_s * spec.members * spec.accelerators
         plans = []
         for group in group_by_adjacency(spec, capacities):
-            moved = self._vacate(job, group)
+            moved = self._list_gangs_to_move(job, group)
             cost = MOVE_COST_S * sum(map(_count_held, moved or ()))
             if moved and cost < gain and len(moved) <= self._count_moves_left():
                 plans.append((cost, [g.spec.id for g in moved], moved))
@@ -239,17 +239,17 @@
             for g, _ in self._plan.worker_plans[worker].holds
         )
 
-    def _vacate(
+    def _list_gangs_to_move(
         self, job: QueuedJob, group: Sequence[FreeCapacity]
     ) -> list[RunningJob] | None:
         """Return the gangs to move so that the job fits in the group, or None."""
         spec = job.spec
         if spec.accelerators == 0:
             return None
-        held = {r.view.name: self._list_holders(r.view.name) for r in group}
+        held = {c.view.name: self._list_holders(c.view.name) for c in group}
         ordered = sorted(
             group,
-            key=lambda r: (sum(map(_count_held, held[r.view.name])), r.view.name),
+            key=lambda c: (sum(map(_count_held, held[c.view.name])), c.view.name),
         )
         left, chosen = spec.members, []
         for capacity in ordered:
@@ -277,9 +277,9 @@
 
     def _fit_elsewhere(self, gangs: Sequence[RunningJob], closed: set[str]) -> bool:
         capacities = [
-            dataclasses.replace(b.room, free=list(b.room.free))
-            for n, b in self._plan.worker_plans.items()
-            if b.view.usable and n not in closed
+            dataclasses.replace(wp.room, free=list(wp.room.free))
+            for n, wp in self._plan.worker_plans.items()
+            if wp.view.usable and n not in closed
         ]
         choose = BestFit()
         return all(
@@ -303,9 +303,9 @@
     """
     labels = {w.name: w.labels for w in plan.view.workers}
     capacities = [
-        dataclasses.replace(b.room, free=list(b.room.free))
-        for b in plan.worker_plans.values()
-        if b.view.usable
+        dataclasses.replace(wp.room, free=list(wp.room.free))
+        for wp in plan.worker_plans.values()
+        if wp.view.usable
     ]
     choose = BestFit()
     wrong = (
--- a/src/firladder/_internal/policies/preemption.py
+++ b/src/firladder/_internal/policies/preemption.py
@@ -56,16 +56,16 @@
     ) -> list[RunningJob]:
         """Return the borrowers to preempt so that the members fit, cheapest first."""
         worker_plan, spec = self.plan.worker_plans[worker], job.spec
-        leaving = [(g, n) for g, n in worker_plan.holds if self.is_stopping(g)]
+        stopping = [(g, n) for g, n in worker_plan.holds if self.is_stopping(g)]
         accelerators = (
             count * spec.accelerators
             - len(worker_plan.room.free)
-            - sum(n for _, n in leaving)
+            - sum(n for _, n in stopping)
             + self._promised.get(worker, 0)
         )
-        cpus = count * spec.cpus - worker_plan.room.cpus - _sum_cpus(leaving)
+        cpus = count * spec.cpus - worker_plan.room.cpus - _sum_cpus(stopping)
         memory = (
-            count * spec.memory_mb - worker_plan.room.memory_mb - _sum_memory(leaving)
+            count * spec.memory_mb - worker_plan.room.memory_mb - _sum_memory(stopping)
         )
         borrowers: dict[str, tuple[RunningJob, int]] = {}
         for gang, held in worker_plan.holds:
--- a/src/firladder/_internal/policies/reclaim.py
+++ b/src/firladder/_internal/policies/reclaim.py
@@ -80,7 +80,9 @@
         """
         if self.plan.view.now - job.submitted_at > NEW_JOB_S:
             return []
-        capacities = [b.room for b in self.plan.worker_plans.values() if b.view.usable]
+        capacities = [
+            wp.room for wp in self.plan.worker_plans.values() if wp.view.usable
+        ]
         members = self._choose(job, capacities)
         if members is None:
             return []
