--- a/features/steps/protocol_model_steps.py
+++ b/features/steps/protocol_model_steps.py
@@ -22,8 +22,13 @@
     StoreConflict,
 )
 from firladder._internal.fleet.configuration import ConfigurationHolder
-from firladder._internal.gateway.configuration import ConfigurationDesk
-from firladder._internal.gateway.ownership import Mine, Owners, Theirs, Unclaimed
+from firladder._internal.gateway.configuration import ConfigurationHandler
+from firladder._internal.gateway.ownership import (
+    OwnedElsewhere,
+    OwnedHere,
+    OwnerUnknown,
+    RequestIdRegistry,
+)
 from firladder._internal.model.specification import (
     SPECIFICATIONS,
     check,
@@ -217,31 +222,35 @@
     @staticmethod
     def make_owners(store, vm="a"):
         identity = Identity(vm, "gateway", "bern-halle", f"start-{vm}", "", "")
-        return Owners(identity=identity, store=store)
+        return RequestIdRegistry(identity=identity, store=store)
 
     @replay("create_claim")
     async def claim_once(self):
         store = FakeStore()
-        assert isinstance(await self.make_owners(store).find_owner("r", "d", 0), Mine)
+        assert isinstance(
+            await self.make_owners(store).find_owner("r", "d", 0), OwnedHere
+        )
         other = await self.make_owners(store, "b").find_owner("r", "d", 0)
-        assert isinstance(other, Theirs), other
+        assert isinstance(other, OwnedElsewhere), other
 
     @replay("read_back_owner")
     async def read_back(self):
         store = FakeStore()
         store.lose_next = True
-        assert isinstance(await self.make_owners(store).find_owner("r", "d", 0), Mine)
+        assert isinstance(
+            await self.make_owners(store).find_owner("r", "d", 0), OwnedHere
+        )
         store.lose_next = True
         other = await self.make_owners(store, "b").find_owner("r", "d", 0)
-        assert isinstance(other, Theirs), other
+        assert isinstance(other, OwnedElsewhere), other
 
     @replay("unsure_declines")
     async def decline(self):
         store = FakeStore()
-        owners = self.make_owners(store)
-        await owners.find_owner("other", "d", 0)
+        id_registry = self.make_owners(store)
+        await id_registry.find_owner("other", "d", 0)
         store.down = True
-        assert isinstance(await owners.find_owner("r", "d", 0), Unclaimed)
+        assert isinstance(await id_registry.find_owner("r", "d", 0), OwnerUnknown)
 
 
 class ConfigurationReplays:
@@ -253,7 +262,7 @@
         timeline = Timeline(process="t", clock=FakeClock(), logical=LogicalClock())
         inventory = Inventory()
         inventory.replace({})
-        desk = ConfigurationDesk(
+        desk = ConfigurationHandler(
             store=store,
             holder=ConfigurationHolder(timeline),
             inventory=inventory,
--- a/features/steps/requests_memory_steps.py
+++ b/features/steps/requests_memory_steps.py
@@ -7,13 +7,13 @@
     StoreConflict,
     StoreUncertain,
 )
-from firladder._internal.gateway.answers import AnswerMemory, KnownRequest
+from firladder._internal.gateway.answers import AnswerCache, KnownRequest
 from firladder._internal.gateway.ownership import (
-    Mine,
-    Owners,
-    Taken,
-    Theirs,
-    Unclaimed,
+    OutcomeForgotten,
+    OwnedElsewhere,
+    OwnedHere,
+    OwnerUnknown,
+    RequestIdRegistry,
 )
 from firladder._internal.models.entry import Committed, Entry, Lease
 from firladder._internal.models.message import Identity
@@ -45,35 +45,35 @@
 
     def __init__(self, kept):
         self.store = FakeStore()
-        self.owners = self._make("me")
-        self.memory = AnswerMemory(self.owners.note_forgotten, entries=kept)
+        self.id_registry = self._make("me")
+        self.memory = AnswerCache(self.id_registry.record_forgotten, entries=kept)
         self.now = 0.0
         self.tickets = {}
 
     def _make(self, name):
         identity = Identity("vm", "gateway", "bern-halle", name, name, name)
-        return Owners(identity=identity, store=self.store)
+        return RequestIdRegistry(identity=identity, store=self.store)
 
-    def find(self, request_id, owners=None):
-        owners = owners or self.owners
-        return asyncio.run(owners.find_owner(request_id, "digest", self.now))
+    def find(self, request_id, id_registry=None):
+        id_registry = id_registry or self.id_registry
+        return asyncio.run(id_registry.find_owner(request_id, "digest", self.now))
 
     def run(self, request_id):
-        assert isinstance(self.find(request_id), Mine), request_id
-        self.owners.note_begun(request_id)
-        self.memory.open(request_id, KnownRequest("digest", None))
+        assert isinstance(self.find(request_id), OwnedHere), request_id
+        self.id_registry.record_started(request_id)
+        self.memory.register(request_id, KnownRequest("digest", None))
         self.memory.keep(request_id, RequestResult(id=request_id, outcome="done"))
 
     def refuse(self, request_id):
         owner = self.find(request_id)
-        assert isinstance(owner, Mine), owner
-        self.owners.note_not_run(request_id, owner)
+        assert isinstance(owner, OwnedHere), owner
+        self.id_registry.record_not_run(request_id, owner)
 
     def check_once(self, request_id):
         self.run(request_id)
         for number in range(9):
             self.run(f"later-{request_id}-{number}")
-        assert isinstance(self.find(request_id), Taken)
+        assert isinstance(self.find(request_id), OutcomeForgotten)
 
 
 @given("an ownership table that keeps {kept:d} answers")
@@ -85,7 +85,7 @@
 def run_tickets(context, first, last):
     table = context.ids
     for number in range(first, last + 1):
-        table.tickets[number] = table.owners.mint_ticket()
+        table.tickets[number] = table.id_registry.mint_ticket()
         table.run(table.tickets[number])
 
 
@@ -97,7 +97,7 @@
 
 @then("ticket {number:d} may not run again")
 def check_ticket_taken(context, number):
-    assert isinstance(context.ids.find(context.ids.tickets[number]), Taken)
+    assert isinstance(context.ids.find(context.ids.tickets[number]), OutcomeForgotten)
 
 
 @then("ticket {number:d} is still known")
@@ -107,20 +107,20 @@
 
 @then("a fresh ticket may run")
 def check_fresh(context):
-    owner = context.ids.find(context.ids.owners.mint_ticket())
-    assert isinstance(owner, Mine), owner
+    owner = context.ids.find(context.ids.id_registry.mint_ticket())
+    assert isinstance(owner, OwnedHere), owner
 
 
 @then('the id "{request_id}" may not run again')
 def check_taken(context, request_id):
     assert context.ids.memory.find(request_id) is None
-    assert isinstance(context.ids.find(request_id), Taken)
+    assert isinstance(context.ids.find(request_id), OutcomeForgotten)
 
 
 @when('the id "{request_id}" and a ticket end as not run')
 def refuse_both(context, request_id):
     context.ids.refuse(request_id)
-    context.refused = context.ids.owners.mint_ticket()
+    context.refused = context.ids.id_registry.mint_ticket()
     context.ids.refuse(context.refused)
 
 
@@ -133,8 +133,8 @@
 def check_ticket_once(context):
     context.ids.run(context.refused)
     for _ in range(5):
-        context.ids.run(context.ids.owners.mint_ticket())
-    assert isinstance(context.ids.find(context.refused), Taken)
+        context.ids.run(context.ids.id_registry.mint_ticket())
+    assert isinstance(context.ids.find(context.refused), OutcomeForgotten)
 
 
 @when('{passed_s:d} s pass and another gateway takes the id "{request_id}"')
@@ -142,19 +142,19 @@
     context.ids.now += passed_s
     context.ids.store.data.clear()
     other = context.ids._make("other")
-    assert isinstance(context.ids.find(request_id, other), Mine)
+    assert isinstance(context.ids.find(request_id, other), OwnedHere)
 
 
 @then('the id "{request_id}" belongs to the other gateway')
 def check_theirs(context, request_id):
     owner = context.ids.find(request_id)
-    assert isinstance(owner, Theirs), owner
+    assert isinstance(owner, OwnedElsewhere), owner
 
 
 @when('the claim of "{request_id}" is written, but the store answers nothing')
 def lose_claim(context, request_id):
     context.ids.store.silent = True
-    assert isinstance(context.ids.find(request_id), Unclaimed)
+    assert isinstance(context.ids.find(request_id), OwnerUnknown)
     context.ids.store.silent = False
 
 
@@ -165,9 +165,9 @@
 
 @then("no guessed ticket is accepted")
 def check_guesses(context):
-    owners = context.ids.owners
-    first = owners.mint_ticket()
-    assert owners.check_id(first) is None
+    id_registry = context.ids.id_registry
+    first = id_registry.mint_ticket()
+    assert id_registry.check_id(first) is None
     guesses = ("t1.me.2", "t1.me.01", "t1.me", "t1.me.x", "t1.me.-1", "t1.me.0")
-    refusals = [owners.check_id(g) for g in guesses]
+    refusals = [id_registry.check_id(g) for g in guesses]
     assert all(isinstance(r, InvalidValue) for r in refusals), refusals
--- a/features/support/golden_parts.py
+++ b/features/support/golden_parts.py
@@ -18,11 +18,11 @@
 from firladder._internal.fleet.configuration import PREFIX as CONFIGURATION_PREFIX
 from firladder._internal.fleet.configuration import ConfigurationHolder
 from firladder._internal.fleet.membership import Peer
-from firladder._internal.gateway.configuration import ConfigurationDesk
+from firladder._internal.gateway.configuration import ConfigurationHandler
 from firladder._internal.gateway.dispatch import Dispatcher
-from firladder._internal.gateway.jobs import JobDesk
-from firladder._internal.gateway.ownership import Owners
-from firladder._internal.gateway.requests import RequestDesk
+from firladder._internal.gateway.jobs import JobHandler
+from firladder._internal.gateway.ownership import RequestIdRegistry
+from firladder._internal.gateway.requests import RequestHandler
 from firladder._internal.gateway.routes import routes
 from firladder._internal.gateway.targets import TargetTable
 from firladder._internal.models.entry import Delete, Entry, Snapshot
@@ -186,9 +186,9 @@
             list_peers=self.list_peers,
             list_all=lambda: [Peer(beat, 0.0) for beat in self.list_peers()],
         )
-        self.owners = Owners(identity=self.identity, store=self.store)  # type: ignore[arg-type]
+        self.id_registry = RequestIdRegistry(identity=self.identity, store=self.store)  # type: ignore[arg-type]
         self.targets = TargetTable(
-            inventory=self.inventory, me=name, share=find_policies().share
+            inventory=self.inventory, own_address=name, share=find_policies().share
         )
         self.dispatcher = Dispatcher(
             targets=self.targets,
@@ -206,15 +206,15 @@
             "clock": self.clock,
             "timeline": self.timeline,
         }
-        self.requests = RequestDesk(
-            owners=self.owners,
+        self.requests = RequestHandler(
+            id_registry=self.id_registry,
             dispatcher=self.dispatcher,
             membership=membership,
             fabric=fabric,
             **shared,
         )
-        self.jobs = JobDesk(store=self.store, inventory=self.inventory, **shared)  # type: ignore[arg-type]
-        self.changes = ConfigurationDesk(
+        self.jobs = JobHandler(store=self.store, inventory=self.inventory, **shared)  # type: ignore[arg-type]
+        self.changes = ConfigurationHandler(
             store=self.store,  # type: ignore[arg-type]
             holder=self.configuration,
             inventory=self.inventory,
--- a/src/firladder/_internal/evaluation/requests.py
+++ b/src/firladder/_internal/evaluation/requests.py
@@ -147,7 +147,7 @@
             for name in self._targets
         }
         table = TargetTable(
-            inventory=inventory, me=f"gateway-{number}", share=policies.share
+            inventory=inventory, own_address=f"gateway-{number}", share=policies.share
         )
         table.refresh()
         queues = ServiceQueues(policies, queue_limit=QUEUE_LIMIT)
@@ -196,9 +196,11 @@
         )
         failure = gateway.queues.admit(
             req,
-            room=gateway.table.measure_room(SERVICE, EVERYTHING, self._configuration),
+            room=gateway.table.measure_capacity(
+                SERVICE, EVERYTHING, self._configuration
+            ),
             in_flight=gateway.in_flight,
-            expected_s=gateway.table.expect_latency(SERVICE),
+            expected_s=gateway.table.estimate_latency(SERVICE),
             request_share=1.0,
             rng=self._rng,
         )
@@ -229,7 +231,7 @@
             now,
             self._rng,
         )
-        expected_s = table.expect_latency(SERVICE)
+        expected_s = table.estimate_latency(SERVICE)
         for req, name in sends:
             if gateway.in_flight and now + expected_s > req.deadline:
                 failure = gateway.queues.refuse_late(
--- a/src/firladder/_internal/gateway/answers.py
+++ b/src/firladder/_internal/gateway/answers.py
@@ -31,7 +31,7 @@
     size: int = 0
 
 
-class AnswerMemory:
+class AnswerCache:
     """Requests under way, and the latest final answers."""
 
     def __init__(
@@ -53,7 +53,7 @@
         """Return what is known of an id."""
         return self._open.get(request_id) or self._ended.get(request_id)
 
-    def open(self, request_id: str, known: KnownRequest) -> None:
+    def register(self, request_id: str, known: KnownRequest) -> None:
         """Register an id that is under way; it is kept until it has ended."""
         self._open[request_id] = known
 
--- a/src/firladder/_internal/gateway/configuration.py
+++ b/src/firladder/_internal/gateway/configuration.py
@@ -42,7 +42,7 @@
 timeout an operator waits at most some seven seconds."""
 
 
-class ConfigurationDesk:
+class ConfigurationHandler:
     """Operators' changes at this gateway."""
 
     def __init__(
--- a/src/firladder/_internal/gateway/daemon.py
+++ b/src/firladder/_internal/gateway/daemon.py
@@ -17,11 +17,11 @@
 from ..policies.dispatching import find_policies
 from ..utils.events import Event
 from ..utils.settings import Resolved
-from .configuration import ConfigurationDesk
+from .configuration import ConfigurationHandler
 from .dispatch import Dispatcher
-from .jobs import JobDesk
-from .ownership import Owners
-from .requests import RequestDesk
+from .jobs import JobHandler
+from .ownership import RequestIdRegistry
+from .requests import RequestHandler
 from .routes import routes
 from .targets import TargetTable
 
@@ -81,9 +81,11 @@
         self.target_client = TargetClient(source_ip=self.source_ip)
         policies = find_policies()
         self.targets = TargetTable(
-            inventory=self.inventory, me=self.identity.address, share=policies.share
+            inventory=self.inventory,
+            own_address=self.identity.address,
+            share=policies.share,
         )
-        self.owners = Owners(identity=self.identity, store=self.store)
+        self.id_registry = RequestIdRegistry(identity=self.identity, store=self.store)
         self.dispatcher = Dispatcher(
             targets=self.targets,
             client=self.target_client,
@@ -95,8 +97,8 @@
             policies=policies,
             queue_limit=self.read("queue_limit"),
         )
-        self.requests = RequestDesk(
-            owners=self.owners,
+        self.requests = RequestHandler(
+            id_registry=self.id_registry,
             dispatcher=self.dispatcher,
             configuration=self.configuration,
             membership=self.membership,
@@ -104,14 +106,14 @@
             clock=self.clock,
             timeline=self.timeline,
         )
-        self.jobs = JobDesk(
+        self.jobs = JobHandler(
             store=self.store,
             configuration=self.configuration,
             inventory=self.inventory,
             clock=self.clock,
             timeline=self.timeline,
         )
-        self.changes = ConfigurationDesk(
+        self.changes = ConfigurationHandler(
             store=self.store,
             holder=self.configuration,
             inventory=self.inventory,
--- a/src/firladder/_internal/gateway/dispatch.py
+++ b/src/firladder/_internal/gateway/dispatch.py
@@ -57,7 +57,7 @@
                 self._send_ready(name, now)
 
     def _send_ready(self, name: str, now: float) -> None:
-        expected_s = self._targets.expect_latency(name)
+        expected_s = self._targets.estimate_latency(name)
         sends = self._services[name].choose(
             lambda selector: self._list_views(name, selector, now),
             now,
@@ -85,7 +85,7 @@
                 self._targets.record_failure(pending.target, now)
 
     def _refuse_late(self, service: str, now: float) -> DeadlineUnreachable:
-        expected_s = self._targets.expect_latency(service)
+        expected_s = self._targets.estimate_latency(service)
         return self._find_service(service).refuse_late(
             now, expected_s=expected_s, rng=self._rng
         )
--- a/src/firladder/_internal/gateway/jobs.py
+++ b/src/firladder/_internal/gateway/jobs.py
@@ -34,7 +34,7 @@
 RETRY_AFTER_S = 2.0
 
 
-class JobDesk:
+class JobHandler:
     """All calls about jobs at this gateway."""
 
     def __init__(
--- a/src/firladder/_internal/gateway/ownership.py
+++ b/src/firladder/_internal/gateway/ownership.py
@@ -49,14 +49,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Mine:
+class OwnedHere:
     """This process alone may run the id, up to a monotonic time."""
 
     held_until: float = math.inf
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Theirs:
+class OwnedElsewhere:
     """Another incarnation alone may run the id."""
 
     owner: str
@@ -64,14 +64,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Taken:
+class OutcomeForgotten:
     """This process took the id before, and no longer knows what became of it."""
 
     digest: str | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unclaimed:
+class OwnerUnknown:
     """The store could not be asked; nothing of the request has run here.
 
     ``answers`` says that the store does answer, but has not taken the claim.
@@ -86,10 +86,10 @@
     """Nobody has claimed the id, so nobody has run it."""
 
 
-Ownership = Mine | Theirs | Taken | Unclaimed
+Ownership = OwnedHere | OwnedElsewhere | OutcomeForgotten | OwnerUnknown
 
 
-class Owners:
+class RequestIdRegistry:
     """Mint tickets, and claim ids that callers chose."""
 
     def __init__(self, *, identity: Identity, store: StoreClient) -> None:
@@ -138,7 +138,7 @@
             return known
         entry = await self._store.get(PREFIX + request_id)
         if isinstance(entry, StoreUnavailable | StoreUncertain):
-            return Unclaimed(entry.reason)
+            return OwnerUnknown(entry.reason)
         if entry is None:
             return Absent()
         return self._judge(msgspec.json.decode(entry.value, type=Claim))
@@ -146,21 +146,21 @@
     def _recall(self, request_id: str, now: float) -> Ownership | None:
         ticket = _read_ticket(request_id)
         if ticket is not None and ticket[0] != self._identity.incarnation:
-            return Theirs(ticket[0])
+            return OwnedElsewhere(ticket[0])
         held_until = self._not_run.get(request_id, 0.0)
         if held_until > now + MAX_DEADLINE_MS / 1000:
-            return Mine(held_until)
+            return OwnedHere(held_until)
         if ticket is None:
             return None
         # Answers are forgotten oldest first. A retried ticket whose answer is
         # gone looks like a new one and would run twice; numbers rise, so the
         # highest forgotten one tells them apart.
-        return Taken() if ticket[1] <= self._floor else Mine()
+        return OutcomeForgotten() if ticket[1] <= self._floor else OwnedHere()
 
-    def _judge(self, found: Claim) -> Theirs | Taken:
+    def _judge(self, found: Claim) -> OwnedElsewhere | OutcomeForgotten:
         if found.incarnation == self._identity.incarnation:
-            return Taken(found.digest)
-        return Theirs(found.incarnation, found.digest)
+            return OutcomeForgotten(found.digest)
+        return OwnedElsewhere(found.incarnation, found.digest)
 
     async def _claim(self, request_id: str, digest: str, now: float) -> Ownership:
         # An earlier write whose answer was lost may still take effect; under
@@ -170,17 +170,17 @@
             # That claim may lapse while the request runs, and another gateway
             # could then claim the id and run it too.
             write_id, held_until = mint_write_id(), 0.0
-        owner: Ownership = Unclaimed("not tried")
+        owner: Ownership = OwnerUnknown("not tried")
         for _ in range(CLAIM_TRIES):
             lease = await self._hold_lease(now)
             if not isinstance(lease, Lease):
-                owner = Unclaimed(lease.reason)
+                owner = OwnerUnknown(lease.reason)
                 break
             held_until = held_until or self._lease_ends_at
             owner = await self._try_claim(
                 request_id, digest, write_id, lease, held_until
             )
-            if not isinstance(owner, Unclaimed):
+            if not isinstance(owner, OwnerUnknown):
                 return owner
             if not owner.answers:
                 break
@@ -203,7 +203,7 @@
             [Compare(key, 0)], [Put(key, encode_json(claim), lease.id)]
         )
         if isinstance(result, Committed):
-            return Mine(held_until)
+            return OwnedHere(held_until)
         if isinstance(result, StoreUncertain):
             # The store may have lost the lease, and then refuses every write.
             self._lease = None
@@ -217,17 +217,17 @@
         held_until: float,
     ) -> Ownership:
         if isinstance(result, StoreUnavailable):
-            return Unclaimed(result.reason)
+            return OwnerUnknown(result.reason)
         # The answer to the write may have been lost after it took effect; only
         # the write id tells our own claim from that of somebody else.
         entry = await self._store.get(key)
         if isinstance(entry, StoreUnavailable | StoreUncertain):
-            return Unclaimed(entry.reason)
+            return OwnerUnknown(entry.reason)
         if entry is None:
-            return Unclaimed(result.reason, answers=True)
+            return OwnerUnknown(result.reason, answers=True)
         found = msgspec.json.decode(entry.value, type=Claim)
         if found.write_id == claim.write_id:
-            return Mine(held_until)
+            return OwnedHere(held_until)
         return self._judge(found)
 
     async def _hold_lease(
@@ -244,11 +244,11 @@
             self._lease_ends_at = now + granted.ttl_s
         return granted
 
-    def note_begun(self, request_id: str) -> None:
+    def record_started(self, request_id: str) -> None:
         """Note that the id is about to run: it is no longer "not run"."""
         self._not_run.pop(request_id, None)
 
-    def note_not_run(self, request_id: str, mine: Mine) -> None:
+    def record_not_run(self, request_id: str, mine: OwnedHere) -> None:
         """Note that an id of this process certainly has not run.
 
         Its claim stays. Were it given up, a gateway that has read it and
@@ -257,7 +257,7 @@
         self._not_run[request_id] = mine.held_until
         _shrink(self._not_run)
 
-    def note_forgotten(self, request_id: str) -> None:
+    def record_forgotten(self, request_id: str) -> None:
         """Note that the answer under an id of this process was let go."""
         ticket = _read_ticket(request_id)
         if ticket is not None and ticket[0] == self._identity.incarnation:
--- a/src/firladder/_internal/gateway/queues.py
+++ b/src/firladder/_internal/gateway/queues.py
@@ -154,7 +154,7 @@
             return Draining(reason="this gateway is stopping", retry_after_s=1.0)
         if waiting.deadline <= now:
             return _tell_too_late()
-        room = self._targets.measure_room(
+        room = self._targets.measure_capacity(
             service, steering.targets, self._configuration.current
         )
         if not room:
@@ -165,7 +165,7 @@
             waiting,
             room=room,
             in_flight=self.in_flight[service],
-            expected_s=self._targets.expect_latency(service),
+            expected_s=self._targets.estimate_latency(service),
             request_share=self._find_organisation(steering).request_share,
             rng=self._rng,
         )
--- a/src/firladder/_internal/gateway/relaying.py
+++ b/src/firladder/_internal/gateway/relaying.py
@@ -27,7 +27,7 @@
 from ..utils.codec import decode_json, encode_json
 from ..utils.events import Event, Timeline
 from .answers import Answer, KnownRequest
-from .ownership import Theirs
+from .ownership import OwnedElsewhere
 from .pending import refuse
 from .tries import ASK_AGAIN_S, Try, disown, tell_duplicate
 
@@ -65,7 +65,9 @@
         fabric.handle(RelayRequest, self._answer_relay)
         fabric.handle(ReadClock, self._answer_clock)
 
-    async def pass_on(self, current: Try, owner: Theirs, known: KnownRequest) -> Answer:
+    async def pass_on(
+        self, current: Try, owner: OwnedElsewhere, known: KnownRequest
+    ) -> Answer:
         """Return the owner's answer to a try, or what can be said without it."""
         request_id = current.request_id
         if owner.digest not in (None, current.digest):
@@ -150,7 +152,7 @@
 
 
 def _tell_not_relayed(
-    current: Try, owner: Theirs, failure: PeerUnreachable
+    current: Try, owner: OwnedElsewhere, failure: PeerUnreachable
 ) -> RequestResult:
     # The caller vouches that nothing of it was sent anywhere before, and
     # nothing of it left here: nobody can have run it.
--- a/src/firladder/_internal/gateway/requests.py
+++ b/src/firladder/_internal/gateway/requests.py
@@ -19,9 +19,16 @@
 from ..utils.events import Timeline
 from ..utils.tasks import TaskSet
 from ..utils.tokens import digest_bytes
-from .answers import Answer, AnswerMemory, KnownRequest
+from .answers import Answer, AnswerCache, KnownRequest
 from .dispatch import Dispatcher
-from .ownership import Absent, Mine, Owners, Taken, Theirs, Unclaimed
+from .ownership import (
+    Absent,
+    OutcomeForgotten,
+    OwnedElsewhere,
+    OwnedHere,
+    OwnerUnknown,
+    RequestIdRegistry,
+)
 from .pending import Pending, refuse
 from .relaying import Relays
 from .tries import (
@@ -45,13 +52,13 @@
 T = TypeVar("T", bound=Answer)
 
 
-class RequestDesk:
+class RequestHandler:
     """All requests that callers brought to this gateway."""
 
     def __init__(
         self,
         *,
-        owners: Owners,
+        id_registry: RequestIdRegistry,
         dispatcher: Dispatcher,
         configuration: ConfigurationHolder,
         membership: Membership,
@@ -60,12 +67,12 @@
         timeline: Timeline,
     ) -> None:
         """Answer callers, and gateways that relay to this one."""
-        self._owners = owners
+        self._owners = id_registry
         self._dispatcher = dispatcher
         self._configuration = configuration
         self._clock = clock
         self._tasks = TaskSet()
-        self._memory = AnswerMemory(owners.note_forgotten)
+        self._memory = AnswerCache(id_registry.record_forgotten)
         self._callers = 0
         self._relays = Relays(
             answer=self.answer,
@@ -174,7 +181,7 @@
             # same moment must meet here, not both go on.
             loop = asyncio.get_running_loop()
             known = KnownRequest(current.digest, loop.create_future())
-            self._memory.open(current.request_id, known)
+            self._memory.register(current.request_id, known)
             self._tasks.spawn(self._decide_and_keep(current, known), name="request")
         if known.digest != current.digest:
             return tell_duplicate()
@@ -209,7 +216,9 @@
         self._remember(current.request_id, answer, ours)
         known.answer.set_result(answer)
 
-    def _remember(self, request_id: str, answer: Answer, ours: Mine | None) -> None:
+    def _remember(
+        self, request_id: str, answer: Answer, ours: OwnedHere | None
+    ) -> None:
         if isinstance(answer, Failure):
             self._memory.drop(request_id)
         elif answer.outcome in ("done", "failed"):
@@ -218,14 +227,14 @@
             # Another gateway's, or nobody's yet: ask again at the next try.
             self._memory.drop(request_id)
         elif answer.outcome == "not_run":
-            self._owners.note_not_run(request_id, ours)
+            self._owners.record_not_run(request_id, ours)
             self._memory.drop(request_id)
         else:
             self._memory.keep(request_id, answer)
 
     async def _decide(
         self, current: Try, known: KnownRequest
-    ) -> tuple[Answer, Mine | None]:
+    ) -> tuple[Answer, OwnedHere | None]:
         request_id = current.request_id
         now = self._clock.read_monotonic()
         refusal = self._dispatcher.check(
@@ -240,20 +249,20 @@
             if refusal is None
             else await self._owners.look_up(request_id, now)
         )
-        if isinstance(owner, Theirs):
+        if isinstance(owner, OwnedElsewhere):
             return await self._relays.pass_on(current, owner, known), None
-        if isinstance(owner, Taken):
+        if isinstance(owner, OutcomeForgotten):
             return tell_taken(current, owner), None
-        if isinstance(owner, Unclaimed):
+        if isinstance(owner, OwnerUnknown):
             return tell_unclaimed(current, owner), None
         if refusal is not None:
-            ours = owner if isinstance(owner, Mine) else None
+            ours = owner if isinstance(owner, OwnedHere) else None
             return refuse(request_id, refusal), ours
         assert not isinstance(owner, Absent)
         return await self._run(current, owner, known), owner
 
     async def _run(
-        self, current: Try, owner: Mine, known: KnownRequest
+        self, current: Try, owner: OwnedHere, known: KnownRequest
     ) -> RequestResult:
         if current.gone is not None and current.gone.is_set():
             # Read late, after a pause of this process perhaps: its caller has
@@ -264,7 +273,7 @@
         if isinstance(pending, Failure):
             return refuse(current.request_id, pending)
         known.begun = True
-        self._owners.note_begun(current.request_id)
+        self._owners.record_started(current.request_id)
         return await pending.final
 
     def _submit(self, current: Try) -> Pending | Failure:
--- a/src/firladder/_internal/gateway/routes.py
+++ b/src/firladder/_internal/gateway/routes.py
@@ -60,7 +60,7 @@
     req = decode_json(call.body or b"{}", TicketRequest)
     if isinstance(req, Failure):
         return reply_failure(req)
-    ids = tuple(app.owners.mint_ticket() for _ in range(req.count))
+    ids = tuple(app.id_registry.mint_ticket() for _ in range(req.count))
     return reply_json(Tickets(ids))
 
 
--- a/src/firladder/_internal/gateway/targets.py
+++ b/src/firladder/_internal/gateway/targets.py
@@ -48,10 +48,12 @@
 class TargetTable:
     """All targets this gateway knows."""
 
-    def __init__(self, *, inventory: Inventory, me: str, share: SharingPolicy) -> None:
-        """Follow the inventory; ``me`` is this gateway among those that share."""
+    def __init__(
+        self, *, inventory: Inventory, own_address: str, share: SharingPolicy
+    ) -> None:
+        """Follow the inventory; ``own_address`` is this gateway among those that share."""
         self._inventory = inventory
-        self._me = me
+        self._me = own_address
         self._share = share
         self._demands: Demands = {}
         self._selected: dict[tuple[str, Selector], list[TargetState]] = {}
@@ -119,7 +121,7 @@
                 views.append(_view(state, share, now, trusted=trusted))
         return views
 
-    def measure_room(
+    def measure_capacity(
         self, service: str, selector: Selector, configuration: Configuration
     ) -> int:
         """Return how many requests may be at the admitted targets; 0 if none is."""
@@ -170,7 +172,7 @@
         if state is not None:
             state.score.record_failure(now)
 
-    def expect_latency(self, service: str) -> float:
+    def estimate_latency(self, service: str) -> float:
         """Return what the next request is expected to take, from the latest ones.
 
         Not the median over the targets: while only single requests go out,
--- a/src/firladder/_internal/gateway/tries.py
+++ b/src/firladder/_internal/gateway/tries.py
@@ -13,7 +13,7 @@
 from ..models.request import RequestResult, ServiceRequest
 from ..policies.selectors import Steering
 from .answers import Answer
-from .ownership import Taken, Unclaimed
+from .ownership import OutcomeForgotten, OwnerUnknown
 from .pending import refuse
 
 NOT_READY_RETRY_S = 1.0
@@ -74,7 +74,7 @@
     return disown(current.request_id, failure)
 
 
-def tell_taken(current: Try, owner: Taken) -> Answer:
+def tell_taken(current: Try, owner: OutcomeForgotten) -> Answer:
     """Return the answer under an id whose own answer is forgotten."""
     if owner.digest not in (None, current.digest):
         return tell_duplicate()
@@ -82,7 +82,7 @@
     return disown(current.request_id, SentUnanswered(reason=reason))
 
 
-def tell_unclaimed(current: Try, owner: Unclaimed) -> RequestResult:
+def tell_unclaimed(current: Try, owner: OwnerUnknown) -> RequestResult:
     """Return the answer while nobody can tell who owns the id."""
     reason = f"the id could not be claimed ({owner.reason})"
     if current.is_first:
