--- a/src/firladder/_internal/gateway/tries.py
+++ b/src/firladder/_internal/gateway/attempts.py
@@ -14,19 +14,19 @@
 from ..policies.selectors import Steering
 from .answers import Answer
 from .ownership import OutcomeForgotten, OwnerUnknown
-from .pending import refuse
+from .pending import make_not_run_result
 
 NOT_READY_RETRY_S = 1.0
 """A few heartbeats, by which some peer or the store has usually told."""
 
-ASK_AGAIN_S = 1.0
+UNKNOWN_RETRY_S = 1.0
 """When a caller who was told "unknown" shall ask for the late answer."""
 
 STORE_RETRY_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Try:
+class Attempt:
     """One try of a caller, with the monotonic time at which it must be answered."""
 
     service: str
@@ -39,12 +39,12 @@
     gone: asyncio.Event | None
 
     @property
-    def is_first(self) -> bool:
+    def is_first_attempt(self) -> bool:
         """Tell whether the caller vouches that the id was sent nowhere before."""
         return self.request.attempt == 1
 
 
-def describe_not_ready() -> NotReady:
+def make_not_ready_failure() -> NotReady:
     """Return why a gateway that has heard no configuration serves nobody."""
     # Its empty configuration knows no organisation; a caller who is told so
     # would take a passing state for a mistake of its own and never come back.
@@ -52,50 +52,50 @@
     return NotReady(reason=reason, retry_after_s=NOT_READY_RETRY_S)
 
 
-def tell_not_ready(req: ServiceRequest) -> RequestResult:
+def make_not_ready_result(req: ServiceRequest) -> RequestResult:
     """Return the answer to a request while no configuration is known."""
-    failure = describe_not_ready()
+    failure = make_not_ready_failure()
     if req.idempotent or req.attempt == 1:
-        return refuse(req.id or "", failure)
-    return disown(req.id or "", failure)
+        return make_not_run_result(req.id or "", failure)
+    return make_unknown_result(req.id or "", failure)
 
 
-def tell_duplicate() -> DuplicateId:
+def make_duplicate_failure() -> DuplicateId:
     """Return the refusal of an id that came with another body."""
     return DuplicateId(reason="this id had another body before", field="id")
 
 
-def tell_late(current: Try) -> RequestResult:
+def make_late_result(attempt: Attempt) -> RequestResult:
     """Return the answer at the deadline of a request that may be running."""
     reason = "no answer by the deadline"
-    if not current.request.idempotent:
+    if not attempt.request.idempotent:
         reason += "; a late one is kept under this id"
-    failure = SentUnanswered(reason=reason, retry_after_s=ASK_AGAIN_S)
-    return disown(current.request_id, failure)
+    failure = SentUnanswered(reason=reason, retry_after_s=UNKNOWN_RETRY_S)
+    return make_unknown_result(attempt.request_id, failure)
 
 
-def tell_taken(current: Try, owner: OutcomeForgotten) -> Answer:
+def make_forgotten_result(attempt: Attempt, owner: OutcomeForgotten) -> Answer:
     """Return the answer under an id whose own answer is forgotten."""
-    if owner.digest not in (None, current.digest):
-        return tell_duplicate()
+    if owner.digest not in (None, attempt.digest):
+        return make_duplicate_failure()
     reason = "the id was taken before and its answer is no longer kept; it may have run"
-    return disown(current.request_id, SentUnanswered(reason=reason))
+    return make_unknown_result(attempt.request_id, SentUnanswered(reason=reason))
 
 
-def tell_unclaimed(current: Try, owner: OwnerUnknown) -> RequestResult:
+def make_owner_unknown_result(attempt: Attempt, owner: OwnerUnknown) -> RequestResult:
     """Return the answer while nobody can tell who owns the id."""
     reason = f"the id could not be claimed ({owner.reason})"
-    if current.is_first:
+    if attempt.is_first_attempt:
         reason += "; an id from /v1/tickets needs no claim"
     else:
         reason += ": this try did not run, but an earlier one may have"
     failure = StoreUnavailable(reason=reason, retry_after_s=STORE_RETRY_S)
-    if current.is_first:
-        return refuse(current.request_id, failure)
-    return disown(current.request_id, failure)
+    if attempt.is_first_attempt:
+        return make_not_run_result(attempt.request_id, failure)
+    return make_unknown_result(attempt.request_id, failure)
 
 
-def disown(request_id: str, failure: Failure) -> RequestResult:
+def make_unknown_result(request_id: str, failure: Failure) -> RequestResult:
     """Return the answer to a request that may have run."""
     return RequestResult(
         id=request_id,
--- a/src/firladder/_internal/gateway/configuration.py
+++ b/src/firladder/_internal/gateway/configuration.py
@@ -37,7 +37,7 @@
 
 RETRY_AFTER_S = 2.0
 
-WRITE_TRIES = 3
+MAX_WRITE_ATTEMPTS = 3
 """Times the same write is sent while its fate is open; with the store's own
 timeout an operator waits at most some seven seconds."""
 
@@ -69,19 +69,19 @@
         known = self._holder.current
         snapshot = await self._store.range(PREFIX)
         if isinstance(snapshot, Failure):
-            return _refuse(snapshot.reason)
+            return _make_unavailable(snapshot.reason)
         if not self._inventory.loaded:
             # Without the VM list no shape fits; saying so would be untrue.
-            return _refuse("the VM list is not known yet")
+            return _make_unavailable("the VM list is not known yet")
         stored = read_configuration(snapshot.entries)
         base = choose_base(stored, known, newest=self._find_newest())
         if isinstance(base, Failure):
             return base
-        fresh = apply_changes(base, change_set, self._inventory.list_role("worker"))
-        if isinstance(fresh, Failure):
-            self._timeline.record(Event.CONFIGURATION_REFUSED, reason=fresh.reason)
-            return fresh
-        actions = describe_actions(base, fresh, change_set.changes)
+        updated = apply_changes(base, change_set, self._inventory.list_role("worker"))
+        if isinstance(updated, Failure):
+            self._timeline.record(Event.CONFIGURATION_REFUSED, reason=updated.reason)
+            return updated
+        actions = describe_actions(base, updated, change_set.changes)
         if change_set.dry_run:
             return Accepted(
                 revision=base.revision,
@@ -91,23 +91,23 @@
             )
         changes: Iterable[Put | Delete] = map(encode_change, change_set.changes)
         if base is not stored:
-            fresh = msgspec.structs.replace(
-                fresh, revision=fresh.revision + RESTORE_REVISION_GAP
+            updated = msgspec.structs.replace(
+                updated, revision=updated.revision + RESTORE_REVISION_GAP
             )
-            changes = _replace_all(snapshot.entries, fresh)
+            changes = _replace_all(snapshot.entries, updated)
         clock = self._timeline.stamp()
-        failure = await self._write(snapshot, changes, fresh.revision, clock)
+        failure = await self._write(snapshot, changes, updated.revision, clock)
         if failure is not None:
             return failure
         self._timeline.record_at(
             clock,
             Event.CONFIGURATION_ACCEPTED,
-            revision=fresh.revision,
+            revision=updated.revision,
             changed=tuple(actions),
         )
-        self._holder.adopt(fresh, source="accepted here")
+        self._holder.adopt(updated, source="accepted here")
         return Accepted(
-            revision=fresh.revision, changed=tuple(actions), actions=actions
+            revision=updated.revision, changed=tuple(actions), actions=actions
         )
 
     async def _write(
@@ -123,28 +123,28 @@
         )
         compares = [Compare(HEAD_KEY, entry.mod_revision if entry else 0)]
         writes = [encode_head(head), *changes]
-        doubtful = False
-        for _ in range(WRITE_TRIES):
+        uncertain = False
+        for _ in range(MAX_WRITE_ATTEMPTS):
             result = await self._store.commit(compares, writes)
             if isinstance(result, Committed):
                 return None
             if isinstance(result, StoreConflict):
                 return await self._read_back(head)
-            if isinstance(result, StoreUnavailable) and not doubtful:
-                return _refuse(result.reason)
+            if isinstance(result, StoreUnavailable) and not uncertain:
+                return _make_unavailable(result.reason)
             # The write may have taken effect, or may yet: it can be on its way.
             # Only reading the head, an operator would be told "refused" and the
             # change would come into force after that. The same write again
             # either does it, or meets a head after which the first cannot.
-            doubtful = True
-        return _doubt()
+            uncertain = True
+        return _make_uncertain()
 
     async def _read_back(self, written: ConfigurationHead) -> Failure | None:
         # Either another operator was faster, or our own write took effect and
         # its answer was lost; only its write id tells.
         entry = await self._store.get(HEAD_KEY)
         if isinstance(entry, StoreUnavailable | StoreUncertain):
-            return _doubt()
+            return _make_uncertain()
         head = read_head(entry)
         if head.holds(written.write_id):
             return None
@@ -155,20 +155,20 @@
         )
 
 
-def _replace_all(stored: Iterable[Entry], fresh: Configuration) -> list[Put | Delete]:
-    """Return the writes that make the store hold ``fresh`` and nothing else."""
-    puts = encode_parts(fresh)
+def _replace_all(stored: Iterable[Entry], updated: Configuration) -> list[Put | Delete]:
+    """Return the writes that make the store hold ``updated`` and nothing else."""
+    puts = encode_parts(updated)
     kept = {put.key for put in puts} | {HEAD_KEY}
     return [*puts, *(Delete(e.key) for e in stored if e.key not in kept)]
 
 
-def _refuse(reason: str) -> StoreUnavailable:
+def _make_unavailable(reason: str) -> StoreUnavailable:
     return StoreUnavailable(
         reason=f"nothing was changed: {reason}", retry_after_s=RETRY_AFTER_S
     )
 
 
-def _doubt() -> StoreUncertain:
+def _make_uncertain() -> StoreUncertain:
     return StoreUncertain(
         reason="the change may have been accepted; read the configuration",
         retry_after_s=RETRY_AFTER_S,
--- a/src/firladder/_internal/gateway/daemon.py
+++ b/src/firladder/_internal/gateway/daemon.py
@@ -25,18 +25,18 @@
 from .routes import routes
 from .targets import TargetTable
 
-SHARE_PERIOD_S = 0.1
+SHARE_INTERVAL_S = 0.1
 """Seconds between two looks at what the other gateways say."""
 
 DURATION_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, math.inf)
 """Around the seconds that a person waits; heavy requests lie above the last."""
 
 
-CONFIGURATION_WAIT_S = 3.0
+CONFIGURATION_TIMEOUT_S = 3.0
 """The store answers in milliseconds and a peer within a few heartbeats; after
 this time neither is within reach."""
 
-CONFIGURATION_POLL_S = 0.01
+CONFIGURATION_POLL_INTERVAL_S = 0.01
 
 
 class GatewayMetrics(FleetMetrics):
@@ -151,31 +151,33 @@
         for its health, and callers are told the truth.
         """
         began = self.clock.read_monotonic()
-        while self.clock.read_monotonic() - began < CONFIGURATION_WAIT_S:
+        while self.clock.read_monotonic() - began < CONFIGURATION_TIMEOUT_S:
             if self.configuration.loaded and self.inventory_loaded.is_set():
                 return
-            await asyncio.sleep(CONFIGURATION_POLL_S)
+            await asyncio.sleep(CONFIGURATION_POLL_INTERVAL_S)
 
     async def _share_demand(self) -> None:
         """Keep the shares and the leaving targets as the other gateways see them."""
         while True:
-            beats = self.membership.list_peers(role="gateway")
-            self.targets.set_demands(self._read_demands(beats))
-            news = self.targets.hear_leaving(
-                beats, own_domain=self.identity.failure_domain
+            heartbeats = self.membership.list_peers(role="gateway")
+            self.targets.set_demands(self._collect_demands(heartbeats))
+            newly_leaving = self.targets.update_leaving(
+                heartbeats, own_domain=self.identity.failure_domain
             )
-            for name in news:
+            for name in newly_leaving:
                 self.timeline.record(Event.TARGET_LEAVING, target=name)
-            await asyncio.sleep(SHARE_PERIOD_S)
+            await asyncio.sleep(SHARE_INTERVAL_S)
 
-    def _read_demands(self, beats: list[Heartbeat]) -> dict[str, dict[str, int]]:
+    def _collect_demands(
+        self, heartbeats: list[Heartbeat]
+    ) -> dict[str, dict[str, int]]:
         services = {s.machine.service for s in self.targets.states.values()}
-        mine = self.dispatcher.count_demand()
-        sharing = [b for b in beats if not b.draining]
+        own_demand = self.dispatcher.count_demand()
+        active = [b for b in heartbeats if not b.draining]
         return {
             service: {
-                **{b.identity.address: b.demand.get(service, 0) for b in sharing},
-                self.identity.address: mine.get(service, 0),
+                **{b.identity.address: b.demand.get(service, 0) for b in active},
+                self.identity.address: own_demand.get(service, 0),
             }
             for service in services
         }
@@ -190,22 +192,24 @@
         """
         while True:
             await asyncio.sleep(self.read("heartbeat_s"))
-            heard = {
+            represented = {
                 b.identity.failure_domain
                 for b in self.membership.list_peers(role="gateway")
             } - {self.identity.failure_domain}
-            near = [
+            probed = [
                 name
                 for name, state in self.targets.states.items()
-                if state.machine.failure_domain not in heard
+                if state.machine.failure_domain not in represented
             ]
-            news = await asyncio.gather(*(self._probe(name) for name in near))
-            if any(news):
+            newly_leaving = await asyncio.gather(
+                *(self._probe_target(name) for name in probed)
+            )
+            if any(newly_leaving):
                 # By turns, the other failure domains would hear of it only
                 # after several heartbeats.
                 self.membership.announce(role="gateway")
 
-    async def _probe(self, name: str) -> bool:
+    async def _probe_target(self, name: str) -> bool:
         """Return whether the target has newly said that it leaves."""
         state = self.targets.states.get(name)
         if state is None:
@@ -213,11 +217,11 @@
         health = await self.target_client.check(state.machine.address)
         if not isinstance(health, TargetHealth):
             return False  # a silent target has not come back to live
-        news = health.state == "leaving" and not state.leaving
-        if news:
+        newly_leaving = health.state == "leaving" and not state.leaving
+        if newly_leaving:
             self.timeline.record(Event.TARGET_LEAVING, target=name)
         state.leaving = health.state == "leaving"
-        return news
+        return newly_leaving
 
     def collect_metrics(self) -> None:
         """Refresh all gauges."""
@@ -237,7 +241,7 @@
             await asyncio.wait_for(self.requests.drain(), limit_s)
         except TimeoutError:
             self.timeline.record(Event.PROCESS_DRAINING, reason="drain time is over")
-            self.dispatcher.give_up()
+            self.dispatcher.end_all()
         await asyncio.sleep(0.2)  # the last answers are still being written
 
     async def close(self) -> None:
--- a/src/firladder/_internal/gateway/dispatch.py
+++ b/src/firladder/_internal/gateway/dispatch.py
@@ -20,12 +20,12 @@
 from ..policies.request_views import TargetView
 from ..policies.selectors import Selector
 from ..utils.events import Event
-from .pending import Pending
+from .pending import PendingRequest
 from .queues import RequestQueues
 
-TICK_S = 0.02
+DISPATCH_INTERVAL_S = 0.02
 
-LATE_ANSWER_S = 30.0
+LATE_ANSWER_GRACE_S = 30.0
 """Seconds after its deadline for which the answer to a request that must not
 run twice is still awaited, so that a retry can be told what became of it."""
 
@@ -49,7 +49,7 @@
         """Send what has room until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._wake.wait(), TICK_S)
+                await asyncio.wait_for(self._wake.wait(), DISPATCH_INTERVAL_S)
             self._wake.clear()
             now = self._clock.read_monotonic()
             self.expire_due(now)
@@ -65,8 +65,10 @@
         )
         for waiting, target in sends:
             pending = self._pending[waiting.id]
-            hopeless = self.in_flight[name] > 0 and now + expected_s > waiting.deadline
-            if hopeless and not pending.may_have_run:
+            misses_deadline = (
+                self.in_flight[name] > 0 and now + expected_s > waiting.deadline
+            )
+            if misses_deadline and not pending.may_have_run:
                 self._end(pending, "refuse", failure=self._refuse_late(name, now))
                 self._wake.set()
                 continue
@@ -80,29 +82,31 @@
             if pending is None:
                 continue
             if pending.chart.state == "queued":
-                self._take_out(pending, self._refuse_late(pending.service, now))
+                self._remove_queued(pending, self._refuse_late(pending.service, now))
             elif pending.target is not None:
                 self._targets.record_failure(pending.target, now)
 
     def _refuse_late(self, service: str, now: float) -> DeadlineUnreachable:
         expected_s = self._targets.estimate_latency(service)
-        return self._find_service(service).refuse_late(
+        return self._find_queues(service).refuse_late(
             now, expected_s=expected_s, rng=self._rng
         )
 
-    def drop(self, pending: Pending) -> None:
+    def drop(self, pending: PendingRequest) -> None:
         """Give up a request whose caller has left, unless it was sent."""
         if pending.chart.state == "queued":
-            self._take_out(pending, DeadlineUnreachable(reason="the caller has left"))
+            self._remove_queued(
+                pending, DeadlineUnreachable(reason="the caller has left")
+            )
 
-    def _take_out(self, pending: Pending, failure: Failure) -> None:
-        self._find_service(pending.service).remove(
+    def _remove_queued(self, pending: PendingRequest, failure: Failure) -> None:
+        self._find_queues(pending.service).remove(
             pending.waiting, pending.steering.targets
         )
         event = "abandon" if pending.may_have_run else "refuse"
         self._end(pending, event, failure=failure)
 
-    def _begin_send(self, pending: Pending, target: str, now: float) -> None:
+    def _begin_send(self, pending: PendingRequest, target: str, now: float) -> None:
         self._targets.states[target].score.record_sent(pending.waiting.id, now)
         self.in_flight[pending.service] += 1
         pending.tries += 1
@@ -113,9 +117,9 @@
         )
         self._tasks.spawn(self._send(pending, target, now), name="send")
 
-    async def _send(self, pending: Pending, target: str, now: float) -> None:
+    async def _send(self, pending: PendingRequest, target: str, now: float) -> None:
         state = self._targets.states[target]
-        patience_s = 0.0 if pending.request.idempotent else LATE_ANSWER_S
+        grace_s = 0.0 if pending.request.idempotent else LATE_ANSWER_GRACE_S
         try:
             answer = await self._client.run(
                 state.machine.address,
@@ -123,24 +127,24 @@
                 request_id=pending.request_id,
                 body=bytes(pending.request.body),
                 idempotent=pending.request.idempotent,
-                timeout_s=max(0.001, pending.waiting.deadline - now + patience_s),
+                timeout_s=max(0.001, pending.waiting.deadline - now + grace_s),
             )
         finally:
             state.score.record_end(pending.waiting.id)
             self.in_flight[pending.service] -= 1
-        self._settle(pending, target, answer, now)
+        self._handle_answer(pending, target, answer, now)
         self._wake.set()
 
-    def _settle(
+    def _handle_answer(
         self,
-        pending: Pending,
+        pending: PendingRequest,
         target: str,
         answer: TargetAnswer | NotSent | SentUnanswered,
         sent_at: float,
     ) -> None:
         now = self._clock.read_monotonic()
         if isinstance(answer, TargetAnswer):
-            self._learn(target, answer, now - sent_at, now)
+            self._record_answer(target, answer, now - sent_at, now)
             event = "answer" if answer.status < 400 else "fail"
             self._end(pending, event, target=target, body=answer.body)
             return
@@ -160,11 +164,11 @@
             return
         pending.chart.fire("unsent")
         # Callers refused together by a target that is down come back apart.
-        back_s = self._rng.uniform(*UNSENT_RETRY_S)
-        failure = msgspec.structs.replace(answer, retry_after_s=back_s)
+        retry_after_s = self._rng.uniform(*UNSENT_RETRY_S)
+        failure = msgspec.structs.replace(answer, retry_after_s=retry_after_s)
         self._end(pending, "refuse", target=target, failure=failure)
 
-    def _learn(
+    def _record_answer(
         self, target: str, answer: TargetAnswer, latency_s: float, now: float
     ) -> None:
         if answer.status >= 500:
@@ -175,32 +179,32 @@
             self._targets.record_success(target, latency_s, now)
 
     def _retry(
-        self, pending: Pending, answer: NotSent | SentUnanswered, now: float
+        self, pending: PendingRequest, answer: NotSent | SentUnanswered, now: float
     ) -> bool:
         if isinstance(answer, SentUnanswered) and not pending.request.idempotent:
             # Bytes have left: the target may be running it. A second send
             # could hold two seats for one student.
             return False
-        pause_s = self._budget.plan(
+        backoff_s = self._budget.plan(
             tries=pending.tries,
             now=now,
             deadline=pending.waiting.deadline,
             rng=self._rng,
         )
-        if pause_s is None or pending.chart.ended:
+        if backoff_s is None or pending.chart.ended:
             return False
         pending.chart.fire("unsent" if isinstance(answer, NotSent) else "retry")
-        self._tasks.spawn(self._enqueue_later(pending, pause_s), name="retry")
+        self._tasks.spawn(self._enqueue_later(pending, backoff_s), name="retry")
         return True
 
-    async def _enqueue_later(self, pending: Pending, pause_s: float) -> None:
-        await asyncio.sleep(pause_s)
+    async def _enqueue_later(self, pending: PendingRequest, backoff_s: float) -> None:
+        await asyncio.sleep(backoff_s)
         if not pending.chart.ended:
             self._enqueue(pending)
 
     def _end(
         self,
-        pending: Pending,
+        pending: PendingRequest,
         event: str,
         *,
         target: str | None = None,
@@ -212,7 +216,7 @@
         illegal = pending.chart.fire(event)
         assert illegal is None, illegal
         self._pending.pop(pending.waiting.id, None)
-        result = pending.describe_end(target=target, body=body, failure=failure)
+        result = pending.make_result(target=target, body=body, failure=failure)
         self._timeline.record(
             Event.REQUEST_ENDED,
             request=pending.request_id,
@@ -222,12 +226,12 @@
         if not pending.final.done():
             pending.final.set_result(result)
 
-    def give_up(self) -> None:
+    def end_all(self) -> None:
         """End all that is open, truthfully, because the process must end."""
         failure = Draining(reason="this gateway had to stop", retry_after_s=1.0)
         for pending in tuple(self._pending.values()):
             if pending.chart.state == "queued":
-                self._take_out(pending, failure)
+                self._remove_queued(pending, failure)
             else:
                 self._end(pending, "lose", failure=failure)
 
--- a/src/firladder/_internal/gateway/jobs.py
+++ b/src/firladder/_internal/gateway/jobs.py
@@ -25,11 +25,11 @@
 from ..utils.codec import encode_json
 from ..utils.events import Event, Timeline
 from ..utils.tokens import digest_bytes, mint_write_id
-from .tries import describe_not_ready
+from .attempts import make_not_ready_failure
 
 PREFIX = "jobs/"
 
-CANCEL_TRIES = 5
+MAX_CANCEL_ATTEMPTS = 5
 
 RETRY_AFTER_S = 2.0
 
@@ -85,7 +85,7 @@
     def _prepare(self, spec: JobSpec) -> JobRecord | Failure:
         configuration = self._configuration.current
         if not self._configuration.loaded:
-            return describe_not_ready()
+            return make_not_ready_failure()
         if spec.organisation not in configuration.organisations:
             return InvalidValue(
                 reason=f"no organisation {spec.organisation!r}", field="organisation"
@@ -156,7 +156,7 @@
 
     async def cancel(self, job_id: str) -> JobRecord | Failure:
         """Ask for a job's end; its leader carries it out."""
-        for _ in range(CANCEL_TRIES):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             entry = await self._store.get(PREFIX + job_id)
             if isinstance(entry, Failure):
                 return msgspec.structs.replace(entry, retry_after_s=RETRY_AFTER_S)
@@ -166,16 +166,16 @@
             if job.state == "finished" or job.cancel_requested:
                 return job
             clock = self._timeline.stamp()
-            wanted = msgspec.structs.replace(
+            updated = msgspec.structs.replace(
                 job, cancel_requested=True, write_id=mint_write_id(), clock=clock
             )
             result = await self._store.commit(
                 [Compare(entry.key, entry.mod_revision)],
-                [Put(entry.key, encode_json(wanted))],
+                [Put(entry.key, encode_json(updated))],
             )
             if isinstance(result, Committed):
                 self._timeline.record_at(clock, Event.JOB_CANCEL_ACCEPTED, job=job_id)
-                return wanted
+                return updated
             # The leader wrote first, or the answer was lost: look again.
             await asyncio.sleep(0)
         return StoreConflict(
--- a/src/firladder/_internal/gateway/ownership.py
+++ b/src/firladder/_internal/gateway/ownership.py
@@ -28,11 +28,11 @@
 """Seconds a claim is kept: how long a caller may repeat an id. All claims of
 a gateway share one lease, which costs the store no write of its own."""
 
-CLAIM_TRIES = 2
+MAX_CLAIM_ATTEMPTS = 2
 """Writes of one claim: the second goes under a fresh lease, or recognises the
 first one when it took effect late."""
 
-REMEMBERED_NOT_RUN = 5_000
+MAX_NOT_RUN_IDS = 5_000
 """Ids that ended "not run" and that this process may run again; with about 250
 bytes each they cost little more than 1 MB. One that is forgotten is told as
 "unknown" if it was claimed."""
@@ -74,15 +74,15 @@
 class OwnerUnknown:
     """The store could not be asked; nothing of the request has run here.
 
-    ``answers`` says that the store does answer, but has not taken the claim.
+    ``store_answered`` says that the store does answer, but has not taken the claim.
     """
 
     reason: str
-    answers: bool = False
+    store_answered: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Absent:
+class Unowned:
     """Nobody has claimed the id, so nobody has run it."""
 
 
@@ -96,19 +96,19 @@
         """Claim for this incarnation."""
         self._identity = identity
         self._store = store
-        self._counter = itertools.count(1)
-        self._minted = 0
-        self._floor = 0
+        self._ticket_numbers = itertools.count(1)
+        self._last_ticket = 0
+        self._highest_forgotten = 0
         self._not_run: OrderedDict[str, float] = OrderedDict()
-        self._uncertain: OrderedDict[str, tuple[str, float]] = OrderedDict()
+        self._uncertain_claims: OrderedDict[str, tuple[str, float]] = OrderedDict()
         self._lease: Lease | None = None
         self._lease_renew_at = 0.0
         self._lease_ends_at = 0.0
 
     def mint_ticket(self) -> str:
         """Return an id that this incarnation alone may run."""
-        self._minted = next(self._counter)
-        return f"{TICKET_PREFIX}.{self._identity.incarnation}.{self._minted}"
+        self._last_ticket = next(self._ticket_numbers)
+        return f"{TICKET_PREFIX}.{self._identity.incarnation}.{self._last_ticket}"
 
     def check_id(self, request_id: str) -> InvalidValue | None:
         """Return why an id cannot be one, if it looks like a ticket but is none."""
@@ -116,34 +116,34 @@
             return None
         ticket = _read_ticket(request_id)
         mine = ticket is not None and ticket[0] == self._identity.incarnation
-        if ticket is None or (mine and ticket[1] > self._minted):
+        if ticket is None or (mine and ticket[1] > self._last_ticket):
             # A guessed number would be run now, and again when it is minted.
             return InvalidValue(reason="no such ticket was given out", field="id")
         return None
 
     async def find_owner(self, request_id: str, digest: str, now: float) -> Ownership:
         """Return who may run the id, claiming it if nobody has."""
-        return self._recall(request_id, now) or await self._claim(
+        return self._find_known_owner(request_id, now) or await self._claim(
             request_id, digest, now
         )
 
-    async def look_up(self, request_id: str, now: float) -> Ownership | Absent:
+    async def look_up(self, request_id: str, now: float) -> Ownership | Unowned:
         """Return who may run the id, without claiming it.
 
         For requests that will be refused anyway: a burst of refusals must not
         spend the store's writes.
         """
-        known = self._recall(request_id, now)
+        known = self._find_known_owner(request_id, now)
         if known is not None:
             return known
         entry = await self._store.get(PREFIX + request_id)
         if isinstance(entry, StoreUnavailable | StoreUncertain):
             return OwnerUnknown(entry.reason)
         if entry is None:
-            return Absent()
-        return self._judge(msgspec.json.decode(entry.value, type=Claim))
+            return Unowned()
+        return self._read_claim(msgspec.json.decode(entry.value, type=Claim))
 
-    def _recall(self, request_id: str, now: float) -> Ownership | None:
+    def _find_known_owner(self, request_id: str, now: float) -> Ownership | None:
         ticket = _read_ticket(request_id)
         if ticket is not None and ticket[0] != self._identity.incarnation:
             return OwnedElsewhere(ticket[0])
@@ -155,9 +155,11 @@
         # Answers are forgotten oldest first. A retried ticket whose answer is
         # gone looks like a new one and would run twice; numbers rise, so the
         # highest forgotten one tells them apart.
-        return OutcomeForgotten() if ticket[1] <= self._floor else OwnedHere()
+        return (
+            OutcomeForgotten() if ticket[1] <= self._highest_forgotten else OwnedHere()
+        )
 
-    def _judge(self, found: Claim) -> OwnedElsewhere | OutcomeForgotten:
+    def _read_claim(self, found: Claim) -> OwnedElsewhere | OutcomeForgotten:
         if found.incarnation == self._identity.incarnation:
             return OutcomeForgotten(found.digest)
         return OwnedElsewhere(found.incarnation, found.digest)
@@ -165,14 +167,14 @@
     async def _claim(self, request_id: str, digest: str, now: float) -> Ownership:
         # An earlier write whose answer was lost may still take effect; under
         # the same write id it is recognised as ours and not as a run.
-        write_id, held_until = self._uncertain.pop(request_id, ("", 0.0))
+        write_id, held_until = self._uncertain_claims.pop(request_id, ("", 0.0))
         if held_until < now + MAX_DEADLINE_MS / 1000:
             # That claim may lapse while the request runs, and another gateway
             # could then claim the id and run it too.
             write_id, held_until = mint_write_id(), 0.0
         owner: Ownership = OwnerUnknown("not tried")
-        for _ in range(CLAIM_TRIES):
-            lease = await self._hold_lease(now)
+        for _ in range(MAX_CLAIM_ATTEMPTS):
+            lease = await self._ensure_lease(now)
             if not isinstance(lease, Lease):
                 owner = OwnerUnknown(lease.reason)
                 break
@@ -182,10 +184,10 @@
             )
             if not isinstance(owner, OwnerUnknown):
                 return owner
-            if not owner.answers:
+            if not owner.store_answered:
                 break
-        self._uncertain[request_id] = (write_id, held_until)
-        _shrink(self._uncertain)
+        self._uncertain_claims[request_id] = (write_id, held_until)
+        _drop_oldest(self._uncertain_claims)
         return owner
 
     async def _try_claim(
@@ -197,8 +199,10 @@
         held_until: float,
     ) -> Ownership:
         key = PREFIX + request_id
-        me = self._identity
-        claim = Claim(me.vm, me.incarnation, me.address, digest, write_id)
+        identity = self._identity
+        claim = Claim(
+            identity.vm, identity.incarnation, identity.address, digest, write_id
+        )
         result = await self._store.commit(
             [Compare(key, 0)], [Put(key, encode_json(claim), lease.id)]
         )
@@ -224,13 +228,13 @@
         if isinstance(entry, StoreUnavailable | StoreUncertain):
             return OwnerUnknown(entry.reason)
         if entry is None:
-            return OwnerUnknown(result.reason, answers=True)
+            return OwnerUnknown(result.reason, store_answered=True)
         found = msgspec.json.decode(entry.value, type=Claim)
         if found.write_id == claim.write_id:
             return OwnedHere(held_until)
-        return self._judge(found)
+        return self._read_claim(found)
 
-    async def _hold_lease(
+    async def _ensure_lease(
         self, now: float
     ) -> Lease | StoreUnavailable | StoreUncertain:
         if self._lease is not None and now < self._lease_renew_at:
@@ -255,13 +259,13 @@
         relays here, and one that claims it anew, could both run the id.
         """
         self._not_run[request_id] = mine.held_until
-        _shrink(self._not_run)
+        _drop_oldest(self._not_run)
 
     def record_forgotten(self, request_id: str) -> None:
         """Note that the answer under an id of this process was let go."""
         ticket = _read_ticket(request_id)
         if ticket is not None and ticket[0] == self._identity.incarnation:
-            self._floor = max(self._floor, ticket[1])
+            self._highest_forgotten = max(self._highest_forgotten, ticket[1])
 
 
 def _read_ticket(request_id: str) -> tuple[str, int] | None:
@@ -273,8 +277,8 @@
     return (parts[1], number) if number > 0 and str(number) == parts[2] else None
 
 
-def _shrink(
+def _drop_oldest(
     table: "OrderedDict[str, float] | OrderedDict[str, tuple[str, float]]",
 ) -> None:
-    while len(table) > REMEMBERED_NOT_RUN:
+    while len(table) > MAX_NOT_RUN_IDS:
         table.popitem(last=False)
--- a/src/firladder/_internal/gateway/pending.py
+++ b/src/firladder/_internal/gateway/pending.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Pending:
+class PendingRequest:
     """A request between its admission and its final answer.
 
     ``final`` may come after the deadline: the answer is then a late one.
@@ -30,7 +30,7 @@
     may_have_run: bool = False
     target: str | None = None
 
-    def describe_end(
+    def make_result(
         self,
         *,
         target: str | None = None,
@@ -41,14 +41,14 @@
         return RequestResult(
             id=self.request_id,
             outcome=msgspec.convert(self.chart.state, Outcome),
-            body=_as_json(body),
+            body=_encode_body(body),
             failure=failure,  # type: ignore[arg-type]
             target=target,
             retry_after_s=failure.retry_after_s if failure else None,
         )
 
 
-def refuse(request_id: str, failure: Failure) -> RequestResult:
+def make_not_run_result(request_id: str, failure: Failure) -> RequestResult:
     """Return the answer to a request of which nothing ran."""
     return RequestResult(
         id=request_id,
@@ -58,7 +58,7 @@
     )
 
 
-def _as_json(body: bytes) -> msgspec.Raw:
+def _encode_body(body: bytes) -> msgspec.Raw:
     """Return a target's body as it is, or as a JSON string if it is not JSON."""
     try:
         msgspec.json.decode(body)
--- a/src/firladder/_internal/gateway/queues.py
+++ b/src/firladder/_internal/gateway/queues.py
@@ -24,12 +24,12 @@
 from ..utils.clocks import Clock
 from ..utils.events import Event, Timeline
 from ..utils.tasks import TaskSet
-from .pending import Pending
+from .pending import PendingRequest
 from .targets import TargetTable
 
 NO_TARGET_RETRY_S = 5.0
 
-ENDED_DEADLINES = 1000
+MAX_ENDED_DEADLINES = 1000
 """Deadlines of ended requests that may lie about before they are cleared."""
 
 
@@ -60,13 +60,13 @@
         self._policies = policies
         self._queue_limit = queue_limit
         self._services: dict[str, ServiceQueues] = {}
-        self._pending: dict[str, Pending] = {}
+        self._pending: dict[str, PendingRequest] = {}
         self._deadlines: list[tuple[float, str]] = []
         self._numbers = itertools.count(1)
         self._wake = asyncio.Event()
         self._tasks = TaskSet()
         self._budget = RetryBudget()
-        self._ends_at: float | None = None
+        self._drain_ends_at: float | None = None
         self.in_flight: Counter[str] = Counter()
 
     def count_demand(self) -> dict[str, int]:
@@ -82,7 +82,7 @@
         self, service: str, steering: Steering, deadline: float
     ) -> Failure | None:
         """Return why a request would be refused now, without queueing it."""
-        waiting = self._describe("", steering, deadline)
+        waiting = self._make_waiting("", steering, deadline)
         return self._admit(service, steering, waiting)
 
     def submit(
@@ -93,14 +93,14 @@
         *,
         request_id: str,
         deadline: float,
-    ) -> Pending | Failure:
+    ) -> PendingRequest | Failure:
         """Queue a request, or return why it is refused."""
         # Two idempotent requests may carry one id; the key tells them apart.
-        waiting = self._describe(str(next(self._numbers)), steering, deadline)
+        waiting = self._make_waiting(str(next(self._numbers)), steering, deadline)
         failure = self._admit(service, steering, waiting)
         if failure is not None:
             return failure
-        pending = Pending(
+        pending = PendingRequest(
             waiting,
             request_id,
             service,
@@ -116,19 +116,19 @@
         )
         self._budget.earn()
         self._pending[waiting.id] = pending
-        self._note_deadline(deadline, waiting.id)
+        self._record_deadline(deadline, waiting.id)
         self._enqueue(pending)
         return pending
 
-    def _note_deadline(self, deadline: float, key: str) -> None:
-        if len(self._deadlines) > ENDED_DEADLINES + 2 * len(self._pending):
+    def _record_deadline(self, deadline: float, key: str) -> None:
+        if len(self._deadlines) > MAX_ENDED_DEADLINES + 2 * len(self._pending):
             # Requests that ended early leave their deadlines behind, up to
             # ten minutes each; at full speed they would fill the memory.
             self._deadlines = [d for d in self._deadlines if d[1] in self._pending]
             heapq.heapify(self._deadlines)
         heapq.heappush(self._deadlines, (deadline, key))
 
-    def _describe(
+    def _make_waiting(
         self, key: str, steering: Steering, deadline: float
     ) -> WaitingRequest:
         return WaitingRequest(
@@ -148,12 +148,12 @@
         self, service: str, steering: Steering, waiting: WaitingRequest
     ) -> Failure | None:
         now = waiting.arrived_at
-        if self._ends_at is not None and waiting.deadline > self._ends_at:
+        if self._drain_ends_at is not None and waiting.deadline > self._drain_ends_at:
             # A connection kept open may still bring requests; those that fit
             # into the time left are served, the others would be cut.
             return Draining(reason="this gateway is stopping", retry_after_s=1.0)
         if waiting.deadline <= now:
-            return _tell_too_late()
+            return _make_deadline_too_near()
         room = self._targets.measure_capacity(
             service, steering.targets, self._configuration.current
         )
@@ -161,7 +161,7 @@
             return NoTarget(
                 reason=f"no target of {service!r}", retry_after_s=NO_TARGET_RETRY_S
             )
-        return self._find_service(service).admit(
+        return self._find_queues(service).admit(
             waiting,
             room=room,
             in_flight=self.in_flight[service],
@@ -170,24 +170,24 @@
             rng=self._rng,
         )
 
-    def _find_service(self, service: str) -> ServiceQueues:
+    def _find_queues(self, service: str) -> ServiceQueues:
         found = self._services.get(service)
         if found is None:
             found = ServiceQueues(self._policies, queue_limit=self._queue_limit)
             self._services[service] = found
         return found
 
-    def _enqueue(self, pending: Pending) -> None:
-        service = self._find_service(pending.service)
+    def _enqueue(self, pending: PendingRequest) -> None:
+        service = self._find_queues(pending.service)
         service.push(pending.waiting, pending.steering.targets)
         self._wake.set()
 
     def begin_drain(self, ends_at: float) -> None:
         """Take only what can end before a monotonic time from now on."""
-        self._ends_at = ends_at
+        self._drain_ends_at = ends_at
 
 
-def _tell_too_late() -> DeadlineUnreachable:
+def _make_deadline_too_near() -> DeadlineUnreachable:
     return DeadlineUnreachable(
         reason="the deadline is too near for a target's answer", retry_after_s=1.0
     )
--- a/src/firladder/_internal/gateway/relaying.py
+++ b/src/firladder/_internal/gateway/relaying.py
@@ -27,11 +27,16 @@
 from ..utils.codec import decode_json, encode_json
 from ..utils.events import Event, Timeline
 from .answers import Answer, KnownRequest
+from .attempts import (
+    UNKNOWN_RETRY_S,
+    Attempt,
+    make_duplicate_failure,
+    make_unknown_result,
+)
 from .ownership import OwnedElsewhere
-from .pending import refuse
-from .tries import ASK_AGAIN_S, Try, disown, tell_duplicate
+from .pending import make_not_run_result
 
-SILENT_ASK_S = 0.5
+LOST_PEER_TIMEOUT_S = 0.5
 """Seconds given to an owner that was silent lately; it is milliseconds away."""
 
 
@@ -44,7 +49,7 @@
         """Return the answer; one that was relayed is not relayed again."""
 
 
-class Relays:
+class RequestRelay:
     """Both ends of the requests relayed between gateways."""
 
     def __init__(
@@ -65,38 +70,40 @@
         fabric.handle(RelayRequest, self._answer_relay)
         fabric.handle(ReadClock, self._answer_clock)
 
-    async def pass_on(
-        self, current: Try, owner: OwnedElsewhere, known: KnownRequest
+    async def relay(
+        self, attempt: Attempt, owner: OwnedElsewhere, known: KnownRequest
     ) -> Answer:
         """Return the owner's answer to a try, or what can be said without it."""
-        request_id = current.request_id
-        if owner.digest not in (None, current.digest):
-            return tell_duplicate()
+        request_id = attempt.request_id
+        if owner.digest not in (None, attempt.digest):
+            return make_duplicate_failure()
         peer = self._find_gateway(owner.owner)
-        if peer is None or current.relayed:
+        if peer is None or attempt.relayed:
             reason = "the gateway that owns the id is gone; it will not run"
-            return _tell_not_relayed(current, owner, PeerUnreachable(reason=reason))
+            return _make_not_relayed_result(
+                attempt, owner, PeerUnreachable(reason=reason)
+            )
         address = peer.heartbeat.identity.address
         # The owner's own clock is asked for first, so that a request held up
         # on its way there is not run after its caller has been answered: the
         # caller may have heard "not run" from the owner by then, and have
         # sent it anew under another id.
-        left_s = current.deadline - self._clock.read_monotonic()
+        left_s = attempt.deadline - self._clock.read_monotonic()
         if peer.lost:
             # Silent is not gone: a cut may just have healed, so it is asked,
             # but not for as long as the caller would wait.
-            left_s = min(left_s, SILENT_ASK_S)
+            left_s = min(left_s, LOST_PEER_TIMEOUT_S)
         clock = await self._fabric.ask(address, ReadClock(), timeout_s=max(0, left_s))
         if not isinstance(clock, ClockReply):
-            return _tell_not_relayed(current, owner, _describe_silence())
-        known.begun = True
-        left_s = current.deadline - self._clock.read_monotonic()
+            return _make_not_relayed_result(attempt, owner, _make_no_reply())
+        known.dispatched = True
+        left_s = attempt.deadline - self._clock.read_monotonic()
         self._timeline.record(Event.REQUEST_RELAYED, request=request_id, owner=address)
         reply = await self._fabric.ask(
             address,
             RelayRequest(
-                service=current.service,
-                request=encode_json(current.request),
+                service=attempt.service,
+                request=encode_json(attempt.request),
                 expires_at=clock.now_s + left_s,
             ),
             timeout_s=max(0, left_s),
@@ -134,28 +141,28 @@
         result = decode_json(reply.result, RequestResult)
         if isinstance(result, RequestResult):
             return result
-        return disown(request_id, result)
+        return make_unknown_result(request_id, result)
     if isinstance(reply, Refused) and isinstance(
         reply.failure, DuplicateId | InvalidValue
     ):
         return reply.failure
-    return _tell_silent(request_id)
+    return _make_no_reply_result(request_id)
 
 
-def _tell_silent(request_id: str) -> RequestResult:
-    return disown(request_id, _describe_silence())
+def _make_no_reply_result(request_id: str) -> RequestResult:
+    return make_unknown_result(request_id, _make_no_reply())
 
 
-def _describe_silence() -> PeerUnreachable:
+def _make_no_reply() -> PeerUnreachable:
     reason = "the gateway that owns the id does not answer"
-    return PeerUnreachable(reason=reason, retry_after_s=ASK_AGAIN_S)
+    return PeerUnreachable(reason=reason, retry_after_s=UNKNOWN_RETRY_S)
 
 
-def _tell_not_relayed(
-    current: Try, owner: OwnedElsewhere, failure: PeerUnreachable
+def _make_not_relayed_result(
+    attempt: Attempt, owner: OwnedElsewhere, failure: PeerUnreachable
 ) -> RequestResult:
     # The caller vouches that nothing of it was sent anywhere before, and
     # nothing of it left here: nobody can have run it.
-    if current.is_first and owner.digest is None:
-        return refuse(current.request_id, failure)
-    return disown(current.request_id, failure)
+    if attempt.is_first_attempt and owner.digest is None:
+        return make_not_run_result(attempt.request_id, failure)
+    return make_unknown_result(attempt.request_id, failure)
--- a/src/firladder/_internal/gateway/requests.py
+++ b/src/firladder/_internal/gateway/requests.py
@@ -20,26 +20,26 @@
 from ..utils.tasks import TaskSet
 from ..utils.tokens import digest_bytes
 from .answers import Answer, AnswerCache, KnownRequest
+from .attempts import (
+    UNKNOWN_RETRY_S,
+    Attempt,
+    make_duplicate_failure,
+    make_forgotten_result,
+    make_late_result,
+    make_not_ready_result,
+    make_owner_unknown_result,
+)
 from .dispatch import Dispatcher
 from .ownership import (
-    Absent,
     OutcomeForgotten,
     OwnedElsewhere,
     OwnedHere,
     OwnerUnknown,
     RequestIdRegistry,
+    Unowned,
 )
-from .pending import Pending, refuse
-from .relaying import Relays
-from .tries import (
-    ASK_AGAIN_S,
-    Try,
-    tell_duplicate,
-    tell_late,
-    tell_not_ready,
-    tell_taken,
-    tell_unclaimed,
-)
+from .pending import PendingRequest, make_not_run_result
+from .relaying import RequestRelay
 
 DRAIN_POLL_S = 0.02
 
@@ -67,14 +67,14 @@
         timeline: Timeline,
     ) -> None:
         """Answer callers, and gateways that relay to this one."""
-        self._owners = id_registry
+        self._id_registry = id_registry
         self._dispatcher = dispatcher
         self._configuration = configuration
         self._clock = clock
         self._tasks = TaskSet()
-        self._memory = AnswerCache(id_registry.record_forgotten)
-        self._callers = 0
-        self._relays = Relays(
+        self._answers = AnswerCache(id_registry.record_forgotten)
+        self._open_calls = 0
+        self._relay = RequestRelay(
             answer=self.answer,
             membership=membership,
             fabric=fabric,
@@ -95,18 +95,18 @@
         ``gone`` is set when the caller has left.
         """
         if not self._configuration.loaded:
-            return tell_not_ready(req)
+            return make_not_ready_result(req)
         failure = self._check(service, req)
         if failure is not None:
             return failure
-        self._callers += 1
+        self._open_calls += 1
         try:
-            current = self._read_try(service, req, relayed=relayed, gone=gone)
+            attempt = self._read_attempt(service, req, relayed=relayed, gone=gone)
             if req.idempotent:
-                return await self._answer_idempotent(current)
-            return await self._answer_once(current)
+                return await self._answer_idempotent(attempt)
+            return await self._answer_once(attempt)
         finally:
-            self._callers -= 1
+            self._open_calls -= 1
 
     def _check(self, service: str, req: ServiceRequest) -> Failure | None:
         if not re.fullmatch(SERVICE_PATTERN, service):
@@ -116,20 +116,20 @@
                 reason=f"no organisation {req.organisation!r}", field="organisation"
             )
         if req.id is not None:
-            return self._owners.check_id(req.id)
+            return self._id_registry.check_id(req.id)
         if req.idempotent:
             return None
         reason = "a request that is not idempotent needs an id"
         return InvalidValue(reason=reason, field="id")
 
-    def _read_try(
+    def _read_attempt(
         self,
         service: str,
         req: ServiceRequest,
         *,
         relayed: bool,
         gone: asyncio.Event | None,
-    ) -> Try:
+    ) -> Attempt:
         steering = find_steering(
             self._configuration.current,
             organisation=req.organisation,
@@ -139,10 +139,10 @@
         # A retry has less time left and may be marked as one: only what the
         # target would act on makes it another request.
         content = (service, req.organisation, req.labels, req.body)
-        return Try(
+        return Attempt(
             service,
             req,
-            req.id or self._owners.mint_ticket(),
+            req.id or self._id_registry.mint_ticket(),
             digest_bytes(encode_json(content)),
             steering,
             self._clock.read_monotonic() + req.deadline_ms / 1000,
@@ -150,144 +150,148 @@
             gone,
         )
 
-    async def _answer_idempotent(self, current: Try) -> Answer:
-        if self._memory.find(current.request_id) is not None:
+    async def _answer_idempotent(self, attempt: Attempt) -> Answer:
+        if self._answers.find(attempt.request_id) is not None:
             # The id belongs to a request that must run once; a retry that
             # forgot to say so must not run it again.
-            return tell_duplicate()
-        pending = self._submit(current)
+            return make_duplicate_failure()
+        pending = self._submit(attempt)
         if isinstance(pending, Failure):
-            return refuse(current.request_id, pending)
-        watch = None
-        if current.gone is not None:
-            watch = self._tasks.spawn(
-                self._drop_when_gone(current.gone, pending), name="caller-gone"
+            return make_not_run_result(attempt.request_id, pending)
+        gone_watcher = None
+        if attempt.gone is not None:
+            gone_watcher = self._tasks.spawn(
+                self._drop_when_gone(attempt.gone, pending), name="caller-gone"
             )
         try:
-            result = await self._wait_until_due(pending.final, current)
+            result = await self._wait_until_deadline(pending.final, attempt)
         finally:
-            if watch is not None:
-                watch.cancel()
-        return result or tell_late(current)
+            if gone_watcher is not None:
+                gone_watcher.cancel()
+        return result or make_late_result(attempt)
 
-    async def _drop_when_gone(self, gone: asyncio.Event, pending: Pending) -> None:
+    async def _drop_when_gone(
+        self, gone: asyncio.Event, pending: PendingRequest
+    ) -> None:
         await gone.wait()
         self._dispatcher.drop(pending)
 
-    async def _answer_once(self, current: Try) -> Answer:
-        known = self._memory.find(current.request_id)
+    async def _answer_once(self, attempt: Attempt) -> Answer:
+        known = self._answers.find(attempt.request_id)
         if known is None:
             # Registered before the first await: two copies that arrive at the
             # same moment must meet here, not both go on.
             loop = asyncio.get_running_loop()
-            known = KnownRequest(current.digest, loop.create_future())
-            self._memory.register(current.request_id, known)
-            self._tasks.spawn(self._decide_and_keep(current, known), name="request")
-        if known.digest != current.digest:
-            return tell_duplicate()
+            known = KnownRequest(attempt.digest, loop.create_future())
+            self._answers.register(attempt.request_id, known)
+            self._tasks.spawn(self._resolve_and_store(attempt, known), name="request")
+        if known.digest != attempt.digest:
+            return make_duplicate_failure()
         # The caller may leave; the request goes on and its answer is kept for
         # the next try under the same id.
-        result = await self._wait_until_due(known.answer, current)
+        result = await self._wait_until_deadline(known.answer, attempt)
         if result is not None:
             return result
-        if not known.begun and current.is_first:
+        if not known.dispatched and attempt.is_first_attempt:
             reason = "the deadline passed before the id was claimed"
-            return refuse(
-                current.request_id,
-                DeadlineUnreachable(reason=reason, retry_after_s=ASK_AGAIN_S),
+            return make_not_run_result(
+                attempt.request_id,
+                DeadlineUnreachable(reason=reason, retry_after_s=UNKNOWN_RETRY_S),
             )
-        return tell_late(current)
+        return make_late_result(attempt)
 
-    async def _wait_until_due(
-        self, answer: "asyncio.Future[T]", current: Try
+    async def _wait_until_deadline(
+        self, answer: "asyncio.Future[T]", attempt: Attempt
     ) -> T | None:
-        left_s = current.deadline - self._clock.read_monotonic()
+        left_s = attempt.deadline - self._clock.read_monotonic()
         await asyncio.wait({answer}, timeout=max(0.0, left_s))
         if not answer.done():
             # What still waits in the queue now is "not run", and must be told
             # as that before the caller hears "unknown".
-            self._dispatcher.expire_due(current.deadline)
+            self._dispatcher.expire_due(attempt.deadline)
             for _ in range(SETTLE_TURNS):
                 await asyncio.sleep(0)
         return answer.result() if answer.done() else None
 
-    async def _decide_and_keep(self, current: Try, known: KnownRequest) -> None:
-        answer, ours = await self._decide(current, known)
-        self._remember(current.request_id, answer, ours)
+    async def _resolve_and_store(self, attempt: Attempt, known: KnownRequest) -> None:
+        answer, owned = await self._resolve(attempt, known)
+        self._store_answer(attempt.request_id, answer, owned)
         known.answer.set_result(answer)
 
-    def _remember(
-        self, request_id: str, answer: Answer, ours: OwnedHere | None
+    def _store_answer(
+        self, request_id: str, answer: Answer, owned: OwnedHere | None
     ) -> None:
         if isinstance(answer, Failure):
-            self._memory.drop(request_id)
+            self._answers.drop(request_id)
         elif answer.outcome in ("done", "failed"):
-            self._memory.keep(request_id, answer)
-        elif ours is None:
+            self._answers.keep(request_id, answer)
+        elif owned is None:
             # Another gateway's, or nobody's yet: ask again at the next try.
-            self._memory.drop(request_id)
+            self._answers.drop(request_id)
         elif answer.outcome == "not_run":
-            self._owners.record_not_run(request_id, ours)
-            self._memory.drop(request_id)
+            self._id_registry.record_not_run(request_id, owned)
+            self._answers.drop(request_id)
         else:
-            self._memory.keep(request_id, answer)
+            self._answers.keep(request_id, answer)
 
-    async def _decide(
-        self, current: Try, known: KnownRequest
+    async def _resolve(
+        self, attempt: Attempt, known: KnownRequest
     ) -> tuple[Answer, OwnedHere | None]:
-        request_id = current.request_id
+        request_id = attempt.request_id
         now = self._clock.read_monotonic()
         refusal = self._dispatcher.check(
-            current.service, current.steering, current.deadline
+            attempt.service, attempt.steering, attempt.deadline
         )
-        if refusal is not None and current.is_first:
-            return refuse(request_id, refusal), None
+        if refusal is not None and attempt.is_first_attempt:
+            return make_not_run_result(request_id, refusal), None
         # Who owns the id is found out before anything is refused: an earlier
         # try may have run elsewhere, and "not run" would be untrue.
         owner = (
-            await self._owners.find_owner(request_id, current.digest, now)
+            await self._id_registry.find_owner(request_id, attempt.digest, now)
             if refusal is None
-            else await self._owners.look_up(request_id, now)
+            else await self._id_registry.look_up(request_id, now)
         )
         if isinstance(owner, OwnedElsewhere):
-            return await self._relays.pass_on(current, owner, known), None
+            return await self._relay.relay(attempt, owner, known), None
         if isinstance(owner, OutcomeForgotten):
-            return tell_taken(current, owner), None
+            return make_forgotten_result(attempt, owner), None
         if isinstance(owner, OwnerUnknown):
-            return tell_unclaimed(current, owner), None
+            return make_owner_unknown_result(attempt, owner), None
         if refusal is not None:
-            ours = owner if isinstance(owner, OwnedHere) else None
-            return refuse(request_id, refusal), ours
-        assert not isinstance(owner, Absent)
-        return await self._run(current, owner, known), owner
+            owned = owner if isinstance(owner, OwnedHere) else None
+            return make_not_run_result(request_id, refusal), owned
+        assert not isinstance(owner, Unowned)
+        return await self._run(attempt, owner, known), owner
 
     async def _run(
-        self, current: Try, owner: OwnedHere, known: KnownRequest
+        self, attempt: Attempt, owner: OwnedHere, known: KnownRequest
     ) -> RequestResult:
-        if current.gone is not None and current.gone.is_set():
+        if attempt.gone is not None and attempt.gone.is_set():
             # Read late, after a pause of this process perhaps: its caller has
             # turned elsewhere, and may have been told "not run" since.
             reason = "the caller left before the request was queued"
-            return refuse(current.request_id, DeadlineUnreachable(reason=reason))
-        pending = self._submit(current)
+            return make_not_run_result(
+                attempt.request_id, DeadlineUnreachable(reason=reason)
+            )
+        pending = self._submit(attempt)
         if isinstance(pending, Failure):
-            return refuse(current.request_id, pending)
-        known.begun = True
-        self._owners.record_started(current.request_id)
+            return make_not_run_result(attempt.request_id, pending)
+        known.dispatched = True
+        self._id_registry.record_started(attempt.request_id)
         return await pending.final
 
-    def _submit(self, current: Try) -> Pending | Failure:
+    def _submit(self, attempt: Attempt) -> PendingRequest | Failure:
         return self._dispatcher.submit(
-            current.service,
-            current.request,
-            current.steering,
-            request_id=current.request_id,
-            deadline=current.deadline,
+            attempt.service,
+            attempt.request,
+            attempt.steering,
+            request_id=attempt.request_id,
+            deadline=attempt.deadline,
         )
 
     async def drain(self) -> None:
         """Wait until every caller has an answer."""
-        while self._callers:
+        while self._open_calls:
             await asyncio.sleep(DRAIN_POLL_S)
 
     async def close(self) -> None:
--- a/src/firladder/_internal/gateway/routes.py
+++ b/src/firladder/_internal/gateway/routes.py
@@ -136,7 +136,7 @@
 async def show_status(app: Any, call: HttpCall) -> HttpReply:
     """Return the state of the fleet as seen from here."""
     status = await describe_fleet(
-        me=app.describe(),
+        own_heartbeat=app.describe(),
         peers=app.membership.list_all(),
         fabric=app.fabric,
         now=app.clock.read_monotonic(),
--- a/src/firladder/_internal/gateway/status.py
+++ b/src/firladder/_internal/gateway/status.py
@@ -8,17 +8,17 @@
 from ..models.message import DomainReply, FetchDomain, Heartbeat
 from ..network.fabric import Fabric
 
-ASK_TIMEOUT_S = 1.0
+STATUS_TIMEOUT_S = 1.0
 
 
 async def describe_fleet(
-    *, me: Heartbeat, peers: list[Peer], fabric: Fabric, now: float
+    *, own_heartbeat: Heartbeat, peers: list[Peer], fabric: Fabric, now: float
 ) -> FleetStatus:
     """Return the state of every failure domain this gateway has heard of."""
-    everyone = [(me, 0.0, True)] + [
+    known = [(own_heartbeat, 0.0, True)] + [
         (p.heartbeat, now - p.heard_at, not p.lost) for p in peers
     ]
-    ordered = sorted(everyone, key=lambda row: row[0].identity.failure_domain)
+    ordered = sorted(known, key=lambda row: row[0].identity.failure_domain)
     groups = [
         (domain, list(rows))
         for domain, rows in itertools.groupby(
@@ -28,11 +28,13 @@
     domains = await asyncio.gather(
         *(_describe_domain(domain, rows, fabric) for domain, rows in groups)
     )
-    in_force = all(d.in_force >= me.revision and not d.cut_off for d in domains)
+    in_force = all(
+        d.in_force >= own_heartbeat.revision and not d.cut_off for d in domains
+    )
     return FleetStatus(
-        revision=me.revision,
+        revision=own_heartbeat.revision,
         in_force_everywhere=in_force,
-        store_reachable=me.store_reachable,
+        store_reachable=own_heartbeat.store_reachable,
         failure_domains=tuple(domains),
     )
 
@@ -40,7 +42,7 @@
 async def _describe_domain(
     domain: str, rows: list[tuple[Heartbeat, float, bool]], fabric: Fabric
 ) -> DomainStatus:
-    alive = [beat for beat, _, is_alive in rows if is_alive]
+    alive = [heartbeat for heartbeat, _, is_alive in rows if is_alive]
     leading = max(
         (b for b in alive if b.leading), key=lambda b: b.leading, default=None
     )
@@ -48,14 +50,16 @@
         failure_domain=domain,
         # Of a failure domain that is cut off the last known revision is shown:
         # a 0 would look like a reset configuration.
-        in_force=min(b.revision for b in alive or [beat for beat, _, _ in rows]),
+        in_force=min(
+            b.revision for b in alive or [heartbeat for heartbeat, _, _ in rows]
+        ),
         cut_off=not alive,
         processes=tuple(_describe_process(*row) for row in rows),
     )
     if leading is None:
         return base
     reply = await fabric.ask(
-        leading.identity.address, FetchDomain(), timeout_s=ASK_TIMEOUT_S
+        leading.identity.address, FetchDomain(), timeout_s=STATUS_TIMEOUT_S
     )
     if not isinstance(reply, DomainReply):
         return base
@@ -77,13 +81,13 @@
     )
 
 
-def _describe_process(beat: Heartbeat, age_s: float, alive: bool) -> ProcessStatus:
+def _describe_process(heartbeat: Heartbeat, age_s: float, alive: bool) -> ProcessStatus:
     return ProcessStatus(
-        vm=beat.identity.vm,
-        role=beat.identity.role,
+        vm=heartbeat.identity.vm,
+        role=heartbeat.identity.role,
         alive=alive,
-        draining=beat.draining,
-        revision=beat.revision,
+        draining=heartbeat.draining,
+        revision=heartbeat.revision,
         heard_s_ago=round(age_s, 3),
-        http_address=beat.identity.http_address,
+        http_address=heartbeat.identity.http_address,
     )
--- a/src/firladder/_internal/gateway/targets.py
+++ b/src/firladder/_internal/gateway/targets.py
@@ -16,17 +16,17 @@
 """Requests queued and in flight: by service, then by the gateway's address."""
 
 
-PANIC_PART = 2
+PANIC_DIVISOR = 2
 """When more than one in so many targets are left alone, none is any more."""
 
-EXPECTED_WEIGHT = 0.1
+LATENCY_WEIGHT = 0.1
 """Weight of one answer in what the next request is expected to take."""
 
-RECOVERY_WEIGHT = 0.3
+RECOVERY_LATENCY_WEIGHT = 0.3
 """The same for an answer in less than half of that time: after a slow spell a
 few single requests must be enough to admit callers again."""
 
-TYPICAL_EVERY = 16
+MEDIAN_INTERVAL = 16
 """Answers after which the median latency is worked out anew."""
 
 
@@ -51,16 +51,16 @@
     def __init__(
         self, *, inventory: Inventory, own_address: str, share: SharingPolicy
     ) -> None:
-        """Follow the inventory; ``own_address`` is this gateway among those that share."""
+        """Follow the inventory; ``own_address`` names this gateway in the demands."""
         self._inventory = inventory
-        self._me = own_address
+        self._own_address = own_address
         self._share = share
         self._demands: Demands = {}
         self._selected: dict[tuple[str, Selector], list[TargetState]] = {}
         self._revision = -1
-        self._typical: dict[str, float] = {}
-        self._expected: dict[str, float] = {}
-        self._noted = 0
+        self._median_s: dict[str, float] = {}
+        self._expected_s: dict[str, float] = {}
+        self._recorded = 0
         self.states: dict[str, TargetState] = {}
 
     def refresh(self) -> None:
@@ -88,7 +88,7 @@
             states = [s for s in self.states.values() if s.machine.service == service]
             demands = self._demands.get(service, {})
             slots = {s.machine.name: s.machine.slots for s in states}
-            shares = self._share(slots, demands, self._me)
+            shares = self._share(slots, demands, self._own_address)
             gateways = max(1, len(demands))
             for state in states:
                 connections = max(1, state.machine.connections // gateways)
@@ -102,33 +102,33 @@
         Full targets are left out before anything is built for them: under
         saturation nearly all are full at every look.
         """
-        states = self._list_open(service, selector, configuration)
+        states = self._list_staying(service, selector, configuration)
         probing = sum(s.score.on_probe for s in states)
         # When most targets look bad at once, the fault is more likely in the
         # requests or in this gateway: leaving them all would serve nobody.
-        trusted = probing * PANIC_PART <= len(states)
-        scarce = not any(s.share for s in states)
+        trusted = probing * PANIC_DIVISOR <= len(states)
+        no_shares = not any(s.share for s in states)
         views = []
         for state in states:
             share = state.share
-            if scarce and state is states[0]:
+            if no_shares and state is states[0]:
                 # More gateways than slots: one request at a time must still go
                 # out, or this gateway's callers would wait for ever.
                 share = 1
             if trusted and state.score.on_probe:
                 share = min(share, 1)
             if len(state.score.sent_at) < share:
-                views.append(_view(state, share, now, trusted=trusted))
+                views.append(_make_view(state, share, now, trusted=trusted))
         return views
 
     def measure_capacity(
         self, service: str, selector: Selector, configuration: Configuration
     ) -> int:
         """Return how many requests may be at the admitted targets; 0 if none is."""
-        states = self._list_open(service, selector, configuration)
+        states = self._list_staying(service, selector, configuration)
         return max(1, sum(s.share for s in states)) if states else 0
 
-    def _list_open(
+    def _list_staying(
         self, service: str, selector: Selector, configuration: Configuration
     ) -> list[TargetState]:
         found = self._select(service, selector, configuration)
@@ -157,14 +157,16 @@
         if state is None:
             return
         service = state.machine.service
-        known_s = self._expected.get(service, latency_s)
-        weight = RECOVERY_WEIGHT if latency_s < known_s / 2 else EXPECTED_WEIGHT
-        self._expected[service] = known_s + weight * (latency_s - known_s)
+        expected_s = self._expected_s.get(service, latency_s)
+        weight = (
+            RECOVERY_LATENCY_WEIGHT if latency_s < expected_s / 2 else LATENCY_WEIGHT
+        )
+        self._expected_s[service] = expected_s + weight * (latency_s - expected_s)
         typical_s = self.find_typical_latency(service)
         state.score.record_success(latency_s, now, typical_s)
-        self._noted += 1
-        if self._noted < TYPICAL_EVERY or self._noted % TYPICAL_EVERY == 0:
-            self._typical.clear()
+        self._recorded += 1
+        if self._recorded < MEDIAN_INTERVAL or self._recorded % MEDIAN_INTERVAL == 0:
+            self._median_s.clear()
 
     def record_failure(self, name: str, now: float) -> None:
         """Learn from a failure."""
@@ -178,14 +180,14 @@
         Not the median over the targets: while only single requests go out,
         that would follow a recovery once each target has been tried often.
         """
-        return self._expected.get(service, INITIAL_LATENCY_S)
+        return self._expected_s.get(service, INITIAL_LATENCY_S)
 
     def find_typical_latency(self, service: str) -> float:
         """Return the median latency of the targets of a service."""
-        found = self._typical.get(service)
+        found = self._median_s.get(service)
         if found is None:
             states = self.states.values()
-            found = self._typical[service] = find_typical_latency(
+            found = self._median_s[service] = find_typical_latency(
                 s.score for s in states if s.machine.service == service
             )
         return found
@@ -200,33 +202,37 @@
             )
         )
 
-    def hear_leaving(self, beats: Iterable[Heartbeat], *, own_domain: str) -> list[str]:
+    def update_leaving(
+        self, heartbeats: Iterable[Heartbeat], *, own_domain: str
+    ) -> list[str]:
         """Take over what gateways elsewhere say of their targets; return the news.
 
         A failure domain that is silent changes nothing: a target must not
         count as live again because nobody can be asked.
         """
         by_domain: dict[str, set[str]] = {}
-        for beat in beats:
-            said = by_domain.setdefault(beat.identity.failure_domain, set())
-            said.update(beat.leaving_targets)
-        news = []
+        for beat in heartbeats:
+            names = by_domain.setdefault(beat.identity.failure_domain, set())
+            names.update(beat.leaving_targets)
+        newly_leaving = []
         for name, state in self.states.items():
             domain = state.machine.failure_domain
             if domain == own_domain or domain not in by_domain:
                 continue
             leaving = name in by_domain[domain]
             if leaving and not state.leaving:
-                news.append(name)
+                newly_leaving.append(name)
             state.leaving = leaving
-        return news
+        return newly_leaving
 
 
 def _collect_labels(machine: Machine, configuration: Configuration) -> dict[str, str]:
     return collect_labels(configuration, "target", machine.name, machine.labels)
 
 
-def _view(state: TargetState, share: int, now: float, *, trusted: bool) -> TargetView:
+def _make_view(
+    state: TargetState, share: int, now: float, *, trusted: bool
+) -> TargetView:
     score = state.score
     return TargetView(
         state.machine.name,
