--- a/src/firladder/_internal/gateway/answers.py
+++ b/src/firladder/_internal/gateway/answers.py
@@ -1,4 +1,4 @@
-"""Remember the answers under ids that run at most once."""
+"""Cache of answers to requests that run at most once, by id."""
 
 import asyncio
 import dataclasses
@@ -9,20 +9,21 @@
 from ..models.request import RequestResult
 
 MAX_ANSWERS = 10_000
-"""Answers kept for callers who ask again, the oldest going first. With about
-510 bytes for each beside its body (measured) they cost 5 MB at most."""
+"""Final answers kept for retries; the oldest are discarded first. At about 510
+bytes each, without the body, they take up to 5 MB."""
 
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
-"""Bytes of bodies kept. A daemon has 64 MB for everything and starts at 48."""
+"""Total size of the bodies kept: a daemon may use 64 MB and starts at 48 MB."""
 
 Answer = RequestResult | Failure
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class KnownRequest:
-    """An id this gateway has taken, and its eventual answer.
+    """An id that this gateway handles or has handled, and its answer.
 
-    ``dispatched`` tells whether it was queued here or relayed, so that it may run.
+    ``dispatched`` is set once the request was queued here or relayed: from then
+    on it may run. ``size`` is the length of the answer's body in bytes.
     """
 
     digest: str
@@ -32,7 +33,7 @@
 
 
 class AnswerCache:
-    """Requests under way, and the latest final answers."""
+    """Requests in progress, and the most recent final answers."""
 
     def __init__(
         self,
@@ -41,7 +42,10 @@
         entries: int = MAX_ANSWERS,
         size: int = MAX_ANSWER_BYTES,
     ) -> None:
-        """Call ``on_discard`` with each id whose answer is let go."""
+        """Keep up to ``entries`` answers, with ``size`` bytes of bodies in all.
+
+        ``on_discard`` is called with each id whose final answer is discarded.
+        """
         self._on_discard = on_discard
         self._max_entries = entries
         self._max_bytes = size
@@ -50,19 +54,19 @@
         self._completed: OrderedDict[str, KnownRequest] = OrderedDict()
 
     def find(self, request_id: str) -> KnownRequest | None:
-        """Return what is known of an id."""
+        """Return the entry of an id, in progress or completed."""
         return self._in_progress.get(request_id) or self._completed.get(request_id)
 
     def register(self, request_id: str, known: KnownRequest) -> None:
-        """Register an id that is under way; it is kept until it has ended."""
+        """Add an id in progress; it is kept until it completes."""
         self._in_progress[request_id] = known
 
     def drop(self, request_id: str) -> None:
-        """Let go of an id that did not run here, so that it may be asked again."""
+        """Remove an id that did not run here, so that it can be retried."""
         self._in_progress.pop(request_id, None)
 
     def keep(self, request_id: str, result: RequestResult) -> None:
-        """Keep the final answer of an id, and let the oldest ones go."""
+        """Keep the final answer of an id, and discard the oldest beyond the limits."""
         known = self._in_progress.pop(request_id)
         known.size = len(bytes(result.body))
         self._stored_bytes += known.size
--- a/src/firladder/_internal/gateway/attempts.py
+++ b/src/firladder/_internal/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One try of a caller, and the answers to it that need no target."""
+"""A caller's attempt at a request, and the answers that need no target."""
 
 import asyncio
 import dataclasses
@@ -17,17 +17,21 @@
 from .pending import make_not_run_result
 
 NOT_READY_RETRY_S = 1.0
-"""A few heartbeats, by which some peer or the store has usually told."""
+"""A few heartbeats: by then a peer or the store has usually sent the configuration."""
 
 UNKNOWN_RETRY_S = 1.0
-"""When a caller who was told "unknown" shall ask for the late answer."""
+"""When a caller who was answered "unknown" should retry for the late answer."""
 
 STORE_RETRY_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """One try of a caller, with the monotonic time at which it must be answered."""
+    """One attempt of a caller at a request.
+
+    ``deadline`` is the monotonic time by which it must be answered, and ``gone``
+    is set when the caller disconnects.
+    """
 
     service: str
     request: ServiceRequest
@@ -40,20 +44,20 @@
 
     @property
     def is_first_attempt(self) -> bool:
-        """Tell whether the caller vouches that the id was sent nowhere before."""
+        """Return whether the caller states that the id was never sent before."""
         return self.request.attempt == 1
 
 
 def make_not_ready_failure() -> NotReady:
-    """Return why a gateway that has heard no configuration serves nobody."""
-    # Its empty configuration knows no organisation; a caller who is told so
-    # would take a passing state for a mistake of its own and never come back.
-    reason = "this gateway has not heard the configuration yet"
+    """Return the failure of a gateway that has no configuration yet."""
+    # Without a configuration every organisation is unknown. A caller who is told
+    # that would take this passing state for its own mistake, and not retry.
+    reason = "this gateway has not received the configuration yet"
     return NotReady(reason=reason, retry_after_s=NOT_READY_RETRY_S)
 
 
 def make_not_ready_result(req: ServiceRequest) -> RequestResult:
-    """Return the answer to a request while no configuration is known."""
+    """Return the answer to a request before the configuration is known."""
     failure = make_not_ready_failure()
     if req.idempotent or req.attempt == 1:
         return make_not_run_result(req.id or "", failure)
@@ -61,29 +65,29 @@
 
 
 def make_duplicate_failure() -> DuplicateId:
-    """Return the refusal of an id that came with another body."""
+    """Return the failure of an id that was used before with another body."""
     return DuplicateId(reason="this id had another body before", field="id")
 
 
 def make_late_result(attempt: Attempt) -> RequestResult:
-    """Return the answer at the deadline of a request that may be running."""
+    """Return the answer, at its deadline, of a request that may be running."""
     reason = "no answer by the deadline"
     if not attempt.request.idempotent:
-        reason += "; a late one is kept under this id"
+        reason += "; a late answer is kept under this id"
     failure = SentUnanswered(reason=reason, retry_after_s=UNKNOWN_RETRY_S)
     return make_unknown_result(attempt.request_id, failure)
 
 
 def make_forgotten_result(attempt: Attempt, owner: OutcomeForgotten) -> Answer:
-    """Return the answer under an id whose own answer is forgotten."""
+    """Return the answer for an id whose own answer was discarded."""
     if owner.digest not in (None, attempt.digest):
         return make_duplicate_failure()
-    reason = "the id was taken before and its answer is no longer kept; it may have run"
+    reason = "the id was used before and its answer is no longer kept; it may have run"
     return make_unknown_result(attempt.request_id, SentUnanswered(reason=reason))
 
 
 def make_owner_unknown_result(attempt: Attempt, owner: OwnerUnknown) -> RequestResult:
-    """Return the answer while nobody can tell who owns the id."""
+    """Return the answer when the owner of the id cannot be determined."""
     reason = f"the id could not be claimed ({owner.reason})"
     if attempt.is_first_attempt:
         reason += "; an id from /v1/tickets needs no claim"
--- a/src/firladder/_internal/gateway/configuration.py
+++ b/src/firladder/_internal/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""Accept operators' changes of the configuration, in one order for all."""
+"""Apply operators' changes to the configuration, serialized by the store."""
 
 from collections.abc import Callable, Iterable
 
@@ -38,12 +38,12 @@
 RETRY_AFTER_S = 2.0
 
 MAX_WRITE_ATTEMPTS = 3
-"""Times the same write is sent while its fate is open; with the store's own
-timeout an operator waits at most some seven seconds."""
+"""Times a write with an uncertain outcome is sent. With the store's timeout an
+operator waits about seven seconds at most."""
 
 
 class ConfigurationHandler:
-    """Operators' changes at this gateway."""
+    """Handles the changes that operators send to this gateway."""
 
     def __init__(
         self,
@@ -54,9 +54,9 @@
         find_newest: Callable[[], int],
         timeline: Timeline,
     ) -> None:
-        """Write to ``store`` and put what was accepted in force here at once.
+        """Write changes to ``store``, and accepted ones to ``holder`` at once.
 
-        ``find_newest`` returns the highest revision that a peer has named.
+        ``find_newest`` returns the highest revision that a peer has announced.
         """
         self._store = store
         self._holder = holder
@@ -65,13 +65,13 @@
         self._timeline = timeline
 
     async def change(self, change_set: ChangeSet) -> Accepted | Failure:
-        """Accept a change set whole, or refuse it whole."""
+        """Apply a change set, all or nothing."""
         known = self._holder.current
         snapshot = await self._store.range(PREFIX)
         if isinstance(snapshot, Failure):
             return _make_unavailable(snapshot.reason)
         if not self._inventory.loaded:
-            # Without the VM list no shape fits; saying so would be untrue.
+            # Without the VM list no shape would fit, and the refusal would be wrong.
             return _make_unavailable("the VM list is not known yet")
         stored = read_configuration(snapshot.entries)
         base = choose_base(stored, known, newest=self._find_newest())
@@ -132,16 +132,17 @@
                 return await self._read_back(head)
             if isinstance(result, StoreUnavailable) and not uncertain:
                 return _make_unavailable(result.reason)
-            # The write may have taken effect, or may yet: it can be on its way.
-            # Only reading the head, an operator would be told "refused" and the
-            # change would come into force after that. The same write again
-            # either does it, or meets a head after which the first cannot.
+            # The write may have been applied or may still be in flight. Reading
+            # the head could show the old revision, and the change would come into
+            # force after the operator was told "refused". Repeating the write
+            # either applies it, or conflicts with a head that also rejects the
+            # first copy.
             uncertain = True
         return _make_uncertain()
 
     async def _read_back(self, written: ConfigurationHead) -> Failure | None:
-        # Either another operator was faster, or our own write took effect and
-        # its answer was lost; only its write id tells.
+        # Either another operator wrote first, or this write was applied and its
+        # answer was lost. The write id distinguishes the two.
         entry = await self._store.get(HEAD_KEY)
         if isinstance(entry, StoreUnavailable | StoreUncertain):
             return _make_uncertain()
@@ -156,7 +157,7 @@
 
 
 def _replace_all(stored: Iterable[Entry], updated: Configuration) -> list[Put | Delete]:
-    """Return the writes that make the store hold ``updated`` and nothing else."""
+    """Return the writes that replace everything stored with ``updated``."""
     puts = encode_parts(updated)
     kept = {put.key for put in puts} | {HEAD_KEY}
     return [*puts, *(Delete(e.key) for e in stored if e.key not in kept)]
--- a/src/firladder/_internal/gateway/jobs.py
+++ b/src/firladder/_internal/gateway/jobs.py
@@ -1,4 +1,4 @@
-"""Accept, look up and cancel jobs; the platform's store keeps them."""
+"""Accept, look up and cancel jobs, which are kept in the platform's store."""
 
 import asyncio
 from collections import Counter
@@ -35,7 +35,7 @@
 
 
 class JobHandler:
-    """All calls about jobs at this gateway."""
+    """Handles calls about jobs at this gateway."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         clock: Clock,
         timeline: Timeline,
     ) -> None:
-        """Write to ``store``, and record what was accepted."""
+        """Write jobs to ``store``, and accepted ones to ``timeline``."""
         self._store = store
         self._configuration = configuration
         self._inventory = inventory
@@ -55,7 +55,7 @@
         self._load: Counter[str] = Counter()
 
     async def submit(self, spec: JobSpec) -> JobRecord | Failure:
-        """Accept a job: it is in the store before the caller hears so."""
+        """Accept a job; it is stored before this returns."""
         record = self._prepare(spec)
         if isinstance(record, Failure):
             return record
@@ -70,7 +70,7 @@
             if not isinstance(found, JobRecord):
                 return found
             if found.submitted_at != record.submitted_at:
-                # Accepted before, at another time: its clock is not this one's.
+                # Accepted by an earlier attempt, which has its own logical time.
                 stamped = self._timeline.logical.merge(found.clock)
             record = found
         self._load[record.failure_domain] += 1
@@ -116,12 +116,12 @@
         )
 
     async def _read_back(self, spec: JobSpec, record: JobRecord) -> JobRecord | Failure:
-        # Either somebody used the id before, or our own write took effect and
-        # its answer was lost; the digest and write id tell which.
+        # Either the id was used before, or this write was applied and its answer
+        # was lost. The digest shows whether it is the same job.
         found = await self.find(spec.id)
         if isinstance(found, NotFound):
             return StoreUnavailable(
-                reason="the store did not take the job", retry_after_s=RETRY_AFTER_S
+                reason="the store did not accept the job", retry_after_s=RETRY_AFTER_S
             )
         if isinstance(found, Failure):
             return StoreUncertain(
@@ -133,7 +133,7 @@
         return found
 
     async def find(self, job_id: str) -> JobRecord | Failure:
-        """Return a job as the store has it."""
+        """Return a job as stored."""
         entry = await self._store.get(PREFIX + job_id)
         if isinstance(entry, Failure):
             return msgspec.structs.replace(entry, retry_after_s=RETRY_AFTER_S)
@@ -144,7 +144,7 @@
     async def list_jobs(
         self, *, organisation: str = "", state: str = ""
     ) -> list[JobRecord] | Failure:
-        """Return the jobs of an organisation or state, or all."""
+        """Return all jobs, or those of an organisation or in a state."""
         found = await self._store.range(PREFIX)
         if isinstance(found, Failure):
             return msgspec.structs.replace(found, retry_after_s=RETRY_AFTER_S)
@@ -155,7 +155,7 @@
         ]
 
     async def cancel(self, job_id: str) -> JobRecord | Failure:
-        """Ask for a job's end; its leader carries it out."""
+        """Request the cancellation of a job; its leader carries it out."""
         for _ in range(MAX_CANCEL_ATTEMPTS):
             entry = await self._store.get(PREFIX + job_id)
             if isinstance(entry, Failure):
@@ -176,13 +176,13 @@
             if isinstance(result, Committed):
                 self._timeline.record_at(clock, Event.JOB_CANCEL_ACCEPTED, job=job_id)
                 return updated
-            # The leader wrote first, or the answer was lost: look again.
+            # The leader wrote first, or the answer was lost: read the job again.
             await asyncio.sleep(0)
         return StoreConflict(
-            reason="the job changes too fast; try again", retry_after_s=1.0
+            reason="the job is being changed concurrently; try again", retry_after_s=1.0
         )
 
 
 def decode_job(entry: Entry) -> JobRecord:
-    """Return the job that an entry holds."""
+    """Return the job stored in an entry."""
     return msgspec.json.decode(entry.value, type=JobRecord)
--- a/src/firladder/_internal/gateway/ownership.py
+++ b/src/firladder/_internal/gateway/ownership.py
@@ -1,9 +1,9 @@
-"""Decide which gateway alone may run a request's id.
+"""Determine the only gateway that may run a request's id.
 
-A *ticket* is an id minted by one start of one gateway: only that incarnation
-may run it, which needs no write and works while the store is down. Any other
-id of a request that is not idempotent is claimed in the store, by creating a
-key that must not exist yet.
+A *ticket* is an id minted by one incarnation of a gateway. Only that incarnation
+may run it, which needs no write and works while the store is unavailable. Any
+other id of a request that is not idempotent is claimed in the store, by creating
+a key that must not exist yet.
 """
 
 import dataclasses
@@ -25,21 +25,21 @@
 TICKET_PREFIX = "t1"
 
 CLAIM_TTL_S = 3600
-"""Seconds a claim is kept: how long a caller may repeat an id. All claims of
-a gateway share one lease, which costs the store no write of its own."""
+"""Seconds a claim is kept, and so how long a caller may retry an id. All claims
+of a gateway share a lease, so that a claim costs the store one write."""
 
 MAX_CLAIM_ATTEMPTS = 2
-"""Writes of one claim: the second goes under a fresh lease, or recognises the
-first one when it took effect late."""
+"""Writes of one claim. The second one uses a new lease, or recognises the first
+if that was applied late."""
 
 MAX_NOT_RUN_IDS = 5_000
-"""Ids that ended "not run" and that this process may run again; with about 250
-bytes each they cost little more than 1 MB. One that is forgotten is told as
-"unknown" if it was claimed."""
+"""Ids kept that ended as "not run" and that this process may run again; at about
+250 bytes each they take little more than 1 MB. A claimed id that is discarded is
+answered as "unknown"."""
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """The store's record of who owns an id."""
+    """The record in the store of the gateway that owns an id."""
 
     vm: str
     incarnation: str
@@ -50,14 +50,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnedHere:
-    """This process alone may run the id, up to a monotonic time."""
+    """Only this process may run the id, until a monotonic time."""
 
     held_until: float = math.inf
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnedElsewhere:
-    """Another incarnation alone may run the id."""
+    """Only another incarnation, ``owner``, may run the id."""
 
     owner: str
     digest: str | None = None
@@ -65,16 +65,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeForgotten:
-    """This process took the id before, and no longer knows what became of it."""
+    """This process has owned the id before and no longer knows its outcome."""
 
     digest: str | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnerUnknown:
-    """The store could not be asked; nothing of the request has run here.
+    """The owner could not be determined; the request has not run here.
 
-    ``store_answered`` says that the store does answer, but has not taken the claim.
+    ``store_answered`` is set if the store answers but does not hold the claim.
     """
 
     reason: str
@@ -83,17 +83,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unowned:
-    """Nobody has claimed the id, so nobody has run it."""
+    """No gateway has claimed the id, so none has run it."""
 
 
 Ownership = OwnedHere | OwnedElsewhere | OutcomeForgotten | OwnerUnknown
 
 
 class RequestIdRegistry:
-    """Mint tickets, and claim ids that callers chose."""
+    """Mints tickets, and claims ids that callers chose."""
 
     def __init__(self, *, identity: Identity, store: StoreClient) -> None:
-        """Claim for this incarnation."""
+        """Claim ids in ``store`` for the incarnation of ``identity``."""
         self._identity = identity
         self._store = store
         self._ticket_numbers = itertools.count(1)
@@ -106,32 +106,32 @@
         self._lease_ends_at = 0.0
 
     def mint_ticket(self) -> str:
-        """Return an id that this incarnation alone may run."""
+        """Return a new id that only this incarnation may run."""
         self._last_ticket = next(self._ticket_numbers)
         return f"{TICKET_PREFIX}.{self._identity.incarnation}.{self._last_ticket}"
 
     def check_id(self, request_id: str) -> InvalidValue | None:
-        """Return why an id cannot be one, if it looks like a ticket but is none."""
+        """Return a failure if the id looks like a ticket that was never minted."""
         if not request_id.startswith(f"{TICKET_PREFIX}."):
             return None
         ticket = _read_ticket(request_id)
-        mine = ticket is not None and ticket[0] == self._identity.incarnation
-        if ticket is None or (mine and ticket[1] > self._last_ticket):
-            # A guessed number would be run now, and again when it is minted.
-            return InvalidValue(reason="no such ticket was given out", field="id")
+        is_own = ticket is not None and ticket[0] == self._identity.incarnation
+        if ticket is None or (is_own and ticket[1] > self._last_ticket):
+            # A guessed number would run now, and again once it is minted.
+            return InvalidValue(reason="no such ticket was issued", field="id")
         return None
 
     async def find_owner(self, request_id: str, digest: str, now: float) -> Ownership:
-        """Return who may run the id, claiming it if nobody has."""
+        """Return which gateway may run the id, claiming it if none has."""
         return self._find_known_owner(request_id, now) or await self._claim(
             request_id, digest, now
         )
 
     async def look_up(self, request_id: str, now: float) -> Ownership | Unowned:
-        """Return who may run the id, without claiming it.
+        """Return which gateway may run the id, without claiming it.
 
-        For requests that will be refused anyway: a burst of refusals must not
-        spend the store's writes.
+        Used for requests that will be refused anyway: a burst of refusals must
+        not cause writes to the store.
         """
         known = self._find_known_owner(request_id, now)
         if known is not None:
@@ -152,9 +152,9 @@
             return OwnedHere(held_until)
         if ticket is None:
             return None
-        # Answers are forgotten oldest first. A retried ticket whose answer is
-        # gone looks like a new one and would run twice; numbers rise, so the
-        # highest forgotten one tells them apart.
+        # A retried ticket whose answer was discarded looks like a new one and
+        # would run twice. Ticket numbers increase and answers are discarded
+        # oldest first, so every number up to the highest discarded is a retry.
         return (
             OutcomeForgotten() if ticket[1] <= self._highest_forgotten else OwnedHere()
         )
@@ -165,14 +165,14 @@
         return OwnedElsewhere(found.incarnation, found.digest)
 
     async def _claim(self, request_id: str, digest: str, now: float) -> Ownership:
-        # An earlier write whose answer was lost may still take effect; under
-        # the same write id it is recognised as ours and not as a run.
+        # An earlier write whose answer was lost may still be applied. With the
+        # same write id it is recognised as this claim and not as a run.
         write_id, held_until = self._uncertain_claims.pop(request_id, ("", 0.0))
         if held_until < now + MAX_DEADLINE_MS / 1000:
-            # That claim may lapse while the request runs, and another gateway
-            # could then claim the id and run it too.
+            # The earlier claim may expire while the request runs, and another
+            # gateway could then claim the id and run it too.
             write_id, held_until = mint_write_id(), 0.0
-        owner: Ownership = OwnerUnknown("not tried")
+        owner: Ownership = OwnerUnknown("no write was attempted")
         for _ in range(MAX_CLAIM_ATTEMPTS):
             lease = await self._ensure_lease(now)
             if not isinstance(lease, Lease):
@@ -209,7 +209,7 @@
         if isinstance(result, Committed):
             return OwnedHere(held_until)
         if isinstance(result, StoreUncertain):
-            # The store may have lost the lease, and then refuses every write.
+            # The store may have lost the lease; it would then refuse every write.
             self._lease = None
         return await self._read_back(key, claim, result, held_until)
 
@@ -222,8 +222,8 @@
     ) -> Ownership:
         if isinstance(result, StoreUnavailable):
             return OwnerUnknown(result.reason)
-        # The answer to the write may have been lost after it took effect; only
-        # the write id tells our own claim from that of somebody else.
+        # The write may have been applied although its answer was lost. Only the
+        # write id distinguishes this claim from that of another gateway.
         entry = await self._store.get(key)
         if isinstance(entry, StoreUnavailable | StoreUncertain):
             return OwnerUnknown(entry.reason)
@@ -239,8 +239,8 @@
     ) -> Lease | StoreUnavailable | StoreUncertain:
         if self._lease is not None and now < self._lease_renew_at:
             return self._lease
-        # A fresh lease twice in its life: a claim then outlives its write by
-        # at least half of CLAIM_TTL_S, and old ones go by themselves.
+        # Replaced at half its TTL, so that each claim lasts for at least half of
+        # CLAIM_TTL_S after its write. Old claims expire with their lease.
         granted = await self._store.grant_lease(CLAIM_TTL_S)
         if isinstance(granted, Lease):
             self._lease = granted
@@ -249,20 +249,21 @@
         return granted
 
     def record_started(self, request_id: str) -> None:
-        """Note that the id is about to run: it is no longer "not run"."""
+        """Record that the id is about to run, so that it is no longer "not run"."""
         self._not_run.pop(request_id, None)
 
-    def record_not_run(self, request_id: str, mine: OwnedHere) -> None:
-        """Note that an id of this process certainly has not run.
+    def record_not_run(self, request_id: str, owned: OwnedHere) -> None:
+        """Record that an id owned by this process certainly has not run.
 
-        Its claim stays. Were it given up, a gateway that has read it and
-        relays here, and one that claims it anew, could both run the id.
+        Its claim stays in the store. If it were deleted, a gateway that has read
+        it and relays to this one, and a gateway that claims the id again, could
+        both cause a run.
         """
-        self._not_run[request_id] = mine.held_until
+        self._not_run[request_id] = owned.held_until
         _drop_oldest(self._not_run)
 
     def record_forgotten(self, request_id: str) -> None:
-        """Note that the answer under an id of this process was let go."""
+        """Record that the answer of an id owned by this process was discarded."""
         ticket = _read_ticket(request_id)
         if ticket is not None and ticket[0] == self._identity.incarnation:
             self._highest_forgotten = max(self._highest_forgotten, ticket[1])
@@ -273,7 +274,7 @@
     if len(parts) != 3 or parts[0] != TICKET_PREFIX:
         return None
     number = int(parts[2]) if parts[2].isascii() and parts[2].isdigit() else 0
-    # "7" and "007" must not be two ids of one ticket.
+    # Only one spelling is valid: "7" and "007" must not be two ids of one ticket.
     return (parts[1], number) if number > 0 and str(number) == parts[2] else None
 
 
--- a/src/firladder/_internal/gateway/pending.py
+++ b/src/firladder/_internal/gateway/pending.py
@@ -1,4 +1,4 @@
-"""A request between its admission and its final answer."""
+"""Requests between their admission and their final answer."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
 class PendingRequest:
     """A request between its admission and its final answer.
 
-    ``final`` may come after the deadline: the answer is then a late one.
+    ``final`` may be set after the deadline, with a late answer.
     """
 
     waiting: WaitingRequest
@@ -37,7 +37,7 @@
         body: bytes = b"null",
         failure: Failure | None = None,
     ) -> RequestResult:
-        """Return the result for the final state that the chart has reached."""
+        """Return the result for the final state that the state chart has reached."""
         return RequestResult(
             id=self.request_id,
             outcome=msgspec.convert(self.chart.state, Outcome),
@@ -49,7 +49,7 @@
 
 
 def make_not_run_result(request_id: str, failure: Failure) -> RequestResult:
-    """Return the answer to a request of which nothing ran."""
+    """Return the answer to a request that did not run."""
     return RequestResult(
         id=request_id,
         outcome="not_run",
@@ -59,7 +59,7 @@
 
 
 def _encode_body(body: bytes) -> msgspec.Raw:
-    """Return a target's body as it is, or as a JSON string if it is not JSON."""
+    """Return a target's body unchanged, or as a JSON string if it is not JSON."""
     try:
         msgspec.json.decode(body)
     except (msgspec.DecodeError, RecursionError):
--- a/src/firladder/_internal/gateway/relaying.py
+++ b/src/firladder/_internal/gateway/relaying.py
@@ -1,4 +1,4 @@
-"""Pass requests on to the gateway that alone may run their id."""
+"""Relay requests to the gateway that owns their id."""
 
 from collections.abc import Awaitable
 from typing import Protocol
@@ -37,20 +37,21 @@
 from .pending import make_not_run_result
 
 LOST_PEER_TIMEOUT_S = 0.5
-"""Seconds given to an owner that was silent lately; it is milliseconds away."""
+"""Timeout for an owner whose heartbeats are missing; a round trip takes
+milliseconds."""
 
 
 class AnswerRequest(Protocol):
-    """How this gateway answers a request itself."""
+    """The function by which this gateway answers a request itself."""
 
     def __call__(
         self, service: str, req: ServiceRequest, *, relayed: bool
     ) -> Awaitable[Answer]:
-        """Return the answer; one that was relayed is not relayed again."""
+        """Return the answer; a relayed request is not relayed again."""
 
 
 class RequestRelay:
-    """Both ends of the requests relayed between gateways."""
+    """Relays requests to other gateways, and answers those relayed to this one."""
 
     def __init__(
         self,
@@ -61,7 +62,7 @@
         clock: Clock,
         timeline: Timeline,
     ) -> None:
-        """Let ``answer`` deal with what is relayed to this gateway."""
+        """Answer the requests relayed to this gateway with ``answer``."""
         self._answer = answer
         self._membership = membership
         self._fabric = fabric
@@ -73,25 +74,25 @@
     async def relay(
         self, attempt: Attempt, owner: OwnedElsewhere, known: KnownRequest
     ) -> Answer:
-        """Return the owner's answer to a try, or what can be said without it."""
+        """Return the owner's answer, or what is known if it does not answer."""
         request_id = attempt.request_id
         if owner.digest not in (None, attempt.digest):
             return make_duplicate_failure()
         peer = self._find_gateway(owner.owner)
         if peer is None or attempt.relayed:
-            reason = "the gateway that owns the id is gone; it will not run"
+            reason = "the id's gateway is no longer known; the id can no longer run"
             return _make_not_relayed_result(
                 attempt, owner, PeerUnreachable(reason=reason)
             )
         address = peer.heartbeat.identity.address
-        # The owner's own clock is asked for first, so that a request held up
-        # on its way there is not run after its caller has been answered: the
-        # caller may have heard "not run" from the owner by then, and have
-        # sent it anew under another id.
+        # The deadline is sent in the owner's clock, which is therefore read first:
+        # a request delayed on its way must not run after its caller was answered.
+        # By then the caller may have been told "not run" by the owner itself, and
+        # have sent the request again with another id.
         left_s = attempt.deadline - self._clock.read_monotonic()
         if peer.lost:
-            # Silent is not gone: a cut may just have healed, so it is asked,
-            # but not for as long as the caller would wait.
+            # The owner may be reachable again after a partition, so it is asked,
+            # but with a shorter timeout than the caller's deadline.
             left_s = min(left_s, LOST_PEER_TIMEOUT_S)
         clock = await self._fabric.ask(address, ReadClock(), timeout_s=max(0, left_s))
         if not isinstance(clock, ClockReply):
@@ -124,7 +125,7 @@
             return Refused(failure=req)
         left_ms = int((body.expires_at - self._clock.read_monotonic()) * 1000)
         if left_ms < 1:
-            reason = "the message came after its caller had been answered"
+            reason = "the relayed request arrived after its deadline"
             return Refused(failure=DeadlineUnreachable(reason=reason))
         req = msgspec.structs.replace(req, deadline_ms=min(left_ms, req.deadline_ms))
         result = await self._answer(body.service, req, relayed=True)
@@ -161,8 +162,8 @@
 def _make_not_relayed_result(
     attempt: Attempt, owner: OwnedElsewhere, failure: PeerUnreachable
 ) -> RequestResult:
-    # The caller vouches that nothing of it was sent anywhere before, and
-    # nothing of it left here: nobody can have run it.
+    # The caller states that the request was never sent before, and it was not
+    # relayed from here, so it cannot have run.
     if attempt.is_first_attempt and owner.digest is None:
         return make_not_run_result(attempt.request_id, failure)
     return make_unknown_result(attempt.request_id, failure)
--- a/src/firladder/_internal/gateway/requests.py
+++ b/src/firladder/_internal/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Take a caller's request, find who may run its id, and answer truthfully."""
+"""Answer callers' requests, each run by the gateway that owns its id."""
 
 import asyncio
 import re
@@ -44,16 +44,16 @@
 DRAIN_POLL_S = 0.02
 
 SETTLE_TURNS = 8
-"""Turns of the event loop in which a result that is there reaches its caller."""
+"""Iterations of the event loop after which a result has reached its waiter."""
 
 SERVICE_PATTERN = r"[a-z0-9][a-z0-9.-]{0,63}"
-"""What a service may be called; its name becomes part of a target's URL."""
+"""Valid names of services; the name becomes part of a target's URL."""
 
 T = TypeVar("T", bound=Answer)
 
 
 class RequestHandler:
-    """All requests that callers brought to this gateway."""
+    """Handles the requests that callers send to this gateway."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         clock: Clock,
         timeline: Timeline,
     ) -> None:
-        """Answer callers, and gateways that relay to this one."""
+        """Answer callers, and the gateways that relay requests to this one."""
         self._id_registry = id_registry
         self._dispatcher = dispatcher
         self._configuration = configuration
@@ -90,9 +90,9 @@
         relayed: bool = False,
         gone: asyncio.Event | None = None,
     ) -> Answer:
-        """Return the final answer, or why the request is not a valid one.
+        """Return the final answer, or why the request is invalid.
 
-        ``gone`` is set when the caller has left.
+        ``gone`` is set when the caller disconnects.
         """
         if not self._configuration.loaded:
             return make_not_ready_result(req)
@@ -110,7 +110,7 @@
 
     def _check(self, service: str, req: ServiceRequest) -> Failure | None:
         if not re.fullmatch(SERVICE_PATTERN, service):
-            return InvalidValue(reason="not a service's name", field="service")
+            return InvalidValue(reason="not a valid name of a service", field="service")
         if req.organisation not in self._configuration.current.organisations:
             return InvalidValue(
                 reason=f"no organisation {req.organisation!r}", field="organisation"
@@ -136,8 +136,8 @@
             urgency=req.urgency,
             labels={**req.labels, "service": service},
         )
-        # A retry has less time left and may be marked as one: only what the
-        # target would act on makes it another request.
+        # A retry differs in its deadline and attempt number. Only what the target
+        # acts on makes it another request.
         content = (service, req.organisation, req.labels, req.body)
         return Attempt(
             service,
@@ -152,8 +152,8 @@
 
     async def _answer_idempotent(self, attempt: Attempt) -> Answer:
         if self._answers.find(attempt.request_id) is not None:
-            # The id belongs to a request that must run once; a retry that
-            # forgot to say so must not run it again.
+            # The id belongs to a request that must run at most once. A retry
+            # wrongly marked as idempotent must not run it again.
             return make_duplicate_failure()
         pending = self._submit(attempt)
         if isinstance(pending, Failure):
@@ -179,16 +179,16 @@
     async def _answer_once(self, attempt: Attempt) -> Answer:
         known = self._answers.find(attempt.request_id)
         if known is None:
-            # Registered before the first await: two copies that arrive at the
-            # same moment must meet here, not both go on.
+            # Registered before the first await, so that of two copies that arrive
+            # at the same time the second one finds the first.
             loop = asyncio.get_running_loop()
             known = KnownRequest(attempt.digest, loop.create_future())
             self._answers.register(attempt.request_id, known)
             self._tasks.spawn(self._resolve_and_store(attempt, known), name="request")
         if known.digest != attempt.digest:
             return make_duplicate_failure()
-        # The caller may leave; the request goes on and its answer is kept for
-        # the next try under the same id.
+        # If the caller disconnects, the request continues and its answer is kept
+        # for a retry with the same id.
         result = await self._wait_until_deadline(known.answer, attempt)
         if result is not None:
             return result
@@ -206,8 +206,8 @@
         left_s = attempt.deadline - self._clock.read_monotonic()
         await asyncio.wait({answer}, timeout=max(0.0, left_s))
         if not answer.done():
-            # What still waits in the queue now is "not run", and must be told
-            # as that before the caller hears "unknown".
+            # A request still queued at its deadline did not run. It is ended here,
+            # so that its caller is answered "not run" rather than "unknown".
             self._dispatcher.expire_due(attempt.deadline)
             for _ in range(SETTLE_TURNS):
                 await asyncio.sleep(0)
@@ -226,7 +226,7 @@
         elif answer.outcome in ("done", "failed"):
             self._answers.keep(request_id, answer)
         elif owned is None:
-            # Another gateway's, or nobody's yet: ask again at the next try.
+            # Not owned by this gateway: determine the owner again at a retry.
             self._answers.drop(request_id)
         elif answer.outcome == "not_run":
             self._id_registry.record_not_run(request_id, owned)
@@ -244,8 +244,8 @@
         )
         if refusal is not None and attempt.is_first_attempt:
             return make_not_run_result(request_id, refusal), None
-        # Who owns the id is found out before anything is refused: an earlier
-        # try may have run elsewhere, and "not run" would be untrue.
+        # The owner is determined before a retry is refused: an earlier attempt may
+        # have run on another gateway, and "not run" would be wrong.
         owner = (
             await self._id_registry.find_owner(request_id, attempt.digest, now)
             if refusal is None
@@ -267,9 +267,9 @@
         self, attempt: Attempt, owner: OwnedHere, known: KnownRequest
     ) -> RequestResult:
         if attempt.gone is not None and attempt.gone.is_set():
-            # Read late, after a pause of this process perhaps: its caller has
-            # turned elsewhere, and may have been told "not run" since.
-            reason = "the caller left before the request was queued"
+            # The request may have been read late, after a pause of this process.
+            # Its caller may have retried elsewhere and been answered "not run".
+            reason = "the caller disconnected before the request was queued"
             return make_not_run_result(
                 attempt.request_id, DeadlineUnreachable(reason=reason)
             )
@@ -290,10 +290,10 @@
         )
 
     async def drain(self) -> None:
-        """Wait until every caller has an answer."""
+        """Wait until every caller has been answered."""
         while self._open_calls:
             await asyncio.sleep(DRAIN_POLL_S)
 
     async def close(self) -> None:
-        """Give up what is still open."""
+        """Cancel the requests still in progress."""
         await self._tasks.close()
