--- a/src/firladder/_internal/gateway/daemon.py
+++ b/src/firladder/_internal/gateway/daemon.py
@@ -26,15 +26,14 @@
 from .targets import TargetTable
 
 SHARE_INTERVAL_S = 0.1
-"""Seconds between two looks at what the other gateways say."""
+"""Seconds between updates from the heartbeats of the other gateways."""
 
 DURATION_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, math.inf)
-"""Around the seconds that a person waits; heavy requests lie above the last."""
-
+"""Finest where a person waits; heavy requests exceed the last finite bucket."""
 
 CONFIGURATION_TIMEOUT_S = 3.0
-"""The store answers in milliseconds and a peer within a few heartbeats; after
-this time neither is within reach."""
+"""The store answers in milliseconds and a peer within a few heartbeats: after
+this time both are considered unreachable."""
 
 CONFIGURATION_POLL_INTERVAL_S = 0.01
 
@@ -43,7 +42,7 @@
     """Metrics of a gateway."""
 
     def __init__(self) -> None:
-        """Register the gateway's own metrics beside the common ones."""
+        """Register the gateway's metrics in addition to the common ones."""
         super().__init__()
         self.queued = self._gauge(
             "firladder_requests_queued_count", "Requests that wait in this gateway"
@@ -70,12 +69,12 @@
 
 
 class Gateway(Process):
-    """Admit, queue, refuse and forward; answer calls on jobs and configuration."""
+    """Serves requests to targets, and calls about jobs and configuration."""
 
     role = "gateway"
 
     def __init__(self, settings: Mapping[str, Resolved]) -> None:
-        """Build all parts; nothing listens yet."""
+        """Create all parts, without listening yet."""
         super().__init__(settings)
         self.metrics = GatewayMetrics()
         self.target_client = TargetClient(source_ip=self.source_ip)
@@ -123,7 +122,7 @@
         self.http = HttpServer(self, routes)
 
     def describe(self) -> Heartbeat:
-        """Add this gateway's demand, and what its targets say, to the heartbeat."""
+        """Add this gateway's demand and its leaving targets to the heartbeat."""
         return msgspec.structs.replace(
             super().describe(),
             demand=self.dispatcher.count_demand(),
@@ -131,11 +130,11 @@
         )
 
     def adopt_inventory(self) -> None:
-        """Take over the targets of a new VM list."""
+        """Update the targets from a new VM list."""
         self.targets.refresh()
 
     async def begin(self) -> None:
-        """Listen for callers."""
+        """Start the background tasks, then listen for callers."""
         self.tasks.spawn(self.dispatcher.run(), name="dispatcher")
         self.tasks.spawn(self._share_demand(), name="share-demand")
         self.tasks.spawn(self._probe_targets(), name="probe-targets")
@@ -143,12 +142,12 @@
         self.http.listen(self.read("http_address"))
 
     async def _await_configuration(self) -> None:
-        """Listen only once configuration and targets are known, if that is soon.
+        """Wait until configuration and targets are known, or a timeout expires.
 
-        Callers who reach a gateway that has just started, before its first read
-        of the store, would be turned away although everything is well. Cut off
-        from the store and all peers it listens all the same: the balancer asks
-        for its health, and callers are told the truth.
+        A gateway that listened before its first read of the store would reject
+        callers although nothing is wrong. When partitioned from the store and
+        all peers it still starts to listen, so that the load balancer can check
+        its health and callers are told why they are not served.
         """
         began = self.clock.read_monotonic()
         while self.clock.read_monotonic() - began < CONFIGURATION_TIMEOUT_S:
@@ -157,7 +156,7 @@
             await asyncio.sleep(CONFIGURATION_POLL_INTERVAL_S)
 
     async def _share_demand(self) -> None:
-        """Keep the shares and the leaving targets as the other gateways see them."""
+        """Keep shares and leaving targets up to date with the other gateways."""
         while True:
             heartbeats = self.membership.list_peers(role="gateway")
             self.targets.set_demands(self._collect_demands(heartbeats))
@@ -185,10 +184,10 @@
     async def _probe_targets(self) -> None:
         """Ask the targets of this failure domain whether they are leaving.
 
-        The VM list lags and may be cut off: a target that leaves would get
-        new work until the list says so, and cut it when it stops. Gateways of
-        other failure domains hear of it from this one; for a failure domain
-        of which no gateway is heard, everybody asks.
+        The VM list lags and may be unreachable: a leaving target would get new
+        requests until the list says so, and abort them when it stops. Gateways
+        of other failure domains learn of it from this one. Targets of a failure
+        domain from which no gateway is heard are probed by every gateway.
         """
         while True:
             await asyncio.sleep(self.read("heartbeat_s"))
@@ -205,18 +204,18 @@
                 *(self._probe_target(name) for name in probed)
             )
             if any(newly_leaving):
-                # By turns, the other failure domains would hear of it only
-                # after several heartbeats.
+                # Heartbeats go to the other failure domains in turn, so without
+                # this they would learn of it only after several heartbeats.
                 self.membership.announce(role="gateway")
 
     async def _probe_target(self, name: str) -> bool:
-        """Return whether the target has newly said that it leaves."""
+        """Return whether the target has just reported that it is leaving."""
         state = self.targets.states.get(name)
         if state is None:
             return False
         health = await self.target_client.check(state.machine.address)
         if not isinstance(health, TargetHealth):
-            return False  # a silent target has not come back to live
+            return False  # a target that does not answer keeps its state
         newly_leaving = health.state == "leaving" and not state.leaving
         if newly_leaving:
             self.timeline.record(Event.TARGET_LEAVING, target=name)
@@ -224,7 +223,7 @@
         return newly_leaving
 
     def collect_metrics(self) -> None:
-        """Refresh all gauges."""
+        """Update all gauges."""
         metrics = self.metrics
         metrics.collect(self, self.http)
         metrics.queued.set({}, self.dispatcher.count_queued())
@@ -232,7 +231,7 @@
             metrics.in_flight.set({"service": service}, count)
 
     async def drain(self) -> None:
-        """Let the balancer notice, then finish every request that came in."""
+        """Wait until the load balancer has noticed, then finish all requests."""
         await asyncio.sleep(self.read("unready_s"))
         await self.http.stop_listening()
         limit_s = self.read("drain_s")
@@ -240,12 +239,14 @@
         try:
             await asyncio.wait_for(self.requests.drain(), limit_s)
         except TimeoutError:
-            self.timeline.record(Event.PROCESS_DRAINING, reason="drain time is over")
+            self.timeline.record(
+                Event.PROCESS_DRAINING, reason="the time to drain is over"
+            )
             self.dispatcher.end_all()
         await asyncio.sleep(0.2)  # the last answers are still being written
 
     async def close(self) -> None:
-        """Free all sockets."""
+        """Close all sockets."""
         await self.http.close()
         await self.requests.close()
         await self.dispatcher.close()
--- a/src/firladder/_internal/gateway/dispatch.py
+++ b/src/firladder/_internal/gateway/dispatch.py
@@ -1,6 +1,7 @@
-"""Queue admitted requests and send them to targets.
+"""Send queued requests to targets.
 
-The queue is here, where it can be ordered and refused, never in a target.
+Requests are queued in the gateway, where they can be reordered and refused, and
+never in a target.
 """
 
 import asyncio
@@ -26,17 +27,16 @@
 DISPATCH_INTERVAL_S = 0.02
 
 LATE_ANSWER_GRACE_S = 30.0
-"""Seconds after its deadline for which the answer to a request that must not
-run twice is still awaited, so that a retry can be told what became of it."""
-
+"""Seconds after the deadline for which the answer to a request that must not
+run twice is still awaited, so that a retry gets it."""
 
 UNSENT_RETRY_S = (0.5, 2.0)
-"""Span of the time to come back when no target could be connected to: a
-restarted target is back within seconds."""
+"""Range of the retry time when no target could be connected to; a restarted
+target is back within seconds."""
 
 
 class Dispatcher(RequestQueues):
-    """Own the queues of all services of this gateway."""
+    """Sends the queued requests of all services to targets."""
 
     def _list_views(
         self, service: str, selector: Selector, now: float
@@ -46,7 +46,7 @@
         )
 
     async def run(self) -> None:
-        """Send what has room until cancelled."""
+        """Send requests to targets with free slots until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._wake.wait(), DISPATCH_INTERVAL_S)
@@ -75,7 +75,7 @@
             self._begin_send(pending, target, now)
 
     def expire_due(self, now: float) -> None:
-        """End what waits past its deadline, and count silent targets as failing."""
+        """End queued requests past their deadline; for sent ones record a failure."""
         while self._deadlines and self._deadlines[0][0] <= now:
             _, key = heapq.heappop(self._deadlines)
             pending = self._pending.get(key)
@@ -93,10 +93,10 @@
         )
 
     def drop(self, pending: PendingRequest) -> None:
-        """Give up a request whose caller has left, unless it was sent."""
+        """End a queued request whose caller has disconnected."""
         if pending.chart.state == "queued":
             self._remove_queued(
-                pending, DeadlineUnreachable(reason="the caller has left")
+                pending, DeadlineUnreachable(reason="the caller has disconnected")
             )
 
     def _remove_queued(self, pending: PendingRequest, failure: Failure) -> None:
@@ -163,7 +163,7 @@
             self._end(pending, "lose", target=target, failure=answer)
             return
         pending.chart.fire("unsent")
-        # Callers refused together by a target that is down come back apart.
+        # Spread the retries of callers that were refused together.
         retry_after_s = self._rng.uniform(*UNSENT_RETRY_S)
         failure = msgspec.structs.replace(answer, retry_after_s=retry_after_s)
         self._end(pending, "refuse", target=target, failure=failure)
@@ -172,8 +172,8 @@
         self, target: str, answer: TargetAnswer, latency_s: float, now: float
     ) -> None:
         if answer.status >= 500:
-            # A target that fails everything answers fastest, and would draw
-            # all work to itself.
+            # A target that fails every request answers fastest, and would
+            # otherwise attract all requests.
             self._targets.record_failure(target, now)
         else:
             self._targets.record_success(target, latency_s, now)
@@ -182,8 +182,8 @@
         self, pending: PendingRequest, answer: NotSent | SentUnanswered, now: float
     ) -> bool:
         if isinstance(answer, SentUnanswered) and not pending.request.idempotent:
-            # Bytes have left: the target may be running it. A second send
-            # could hold two seats for one student.
+            # Bytes were sent, so the target may be running the request. A second
+            # send could run it twice.
             return False
         backoff_s = self._budget.plan(
             tries=pending.tries,
@@ -212,7 +212,7 @@
         failure: Failure | None = None,
     ) -> None:
         if pending.chart.ended:
-            return  # given up at the end of a graceful shutdown
+            return  # ended already by a graceful shutdown
         illegal = pending.chart.fire(event)
         assert illegal is None, illegal
         self._pending.pop(pending.waiting.id, None)
@@ -227,8 +227,13 @@
             pending.final.set_result(result)
 
     def end_all(self) -> None:
-        """End all that is open, truthfully, because the process must end."""
-        failure = Draining(reason="this gateway had to stop", retry_after_s=1.0)
+        """End all open requests because the process must stop.
+
+        Queued requests did not run; the outcome of those sent is unknown.
+        """
+        failure = Draining(
+            reason="this gateway stopped before the request ended", retry_after_s=1.0
+        )
         for pending in tuple(self._pending.values()):
             if pending.chart.state == "queued":
                 self._remove_queued(pending, failure)
@@ -236,5 +241,5 @@
                 self._end(pending, "lose", failure=failure)
 
     async def close(self) -> None:
-        """Cancel what is under way."""
+        """Cancel all sends in progress."""
         await self._tasks.close()
--- a/src/firladder/_internal/gateway/queues.py
+++ b/src/firladder/_internal/gateway/queues.py
@@ -1,4 +1,4 @@
-"""Admit requests and queue them, in an order that may change until they are sent."""
+"""Admit requests and queue them until they are sent."""
 
 import asyncio
 import heapq
@@ -30,11 +30,11 @@
 NO_TARGET_RETRY_S = 5.0
 
 MAX_ENDED_DEADLINES = 1000
-"""Deadlines of ended requests that may lie about before they are cleared."""
+"""Deadlines of ended requests kept before they are removed together."""
 
 
 class RequestQueues:
-    """The queues of all services of a gateway, and who gets into them."""
+    """The queues of all services of a gateway, and the admission to them."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         policies: DispatchPolicies,
         queue_limit: int,
     ) -> None:
-        """Prepare; ``run`` must run for anything to be sent."""
+        """Create empty queues; only the dispatcher's ``run`` sends requests."""
         self._targets = targets
         self._client = client
         self._configuration = configuration
@@ -70,18 +70,18 @@
         self.in_flight: Counter[str] = Counter()
 
     def count_demand(self) -> dict[str, int]:
-        """Return the requests queued and in flight, by service."""
+        """Return the number of requests queued and in flight, by service."""
         queued = {name: len(s) for name, s in self._services.items()}
         return dict(Counter(queued) + self.in_flight)
 
     def count_queued(self) -> int:
-        """Return the number of requests that wait."""
+        """Return the number of queued requests."""
         return sum(len(s) for s in self._services.values())
 
     def check(
         self, service: str, steering: Steering, deadline: float
     ) -> Failure | None:
-        """Return why a request would be refused now, without queueing it."""
+        """Return why a request would be refused now, or None; do not queue it."""
         waiting = self._make_waiting("", steering, deadline)
         return self._admit(service, steering, waiting)
 
@@ -95,7 +95,7 @@
         deadline: float,
     ) -> PendingRequest | Failure:
         """Queue a request, or return why it is refused."""
-        # Two idempotent requests may carry one id; the key tells them apart.
+        # Several idempotent requests may share an id, so each gets its own key.
         waiting = self._make_waiting(str(next(self._numbers)), steering, deadline)
         failure = self._admit(service, steering, waiting)
         if failure is not None:
@@ -122,8 +122,8 @@
 
     def _record_deadline(self, deadline: float, key: str) -> None:
         if len(self._deadlines) > MAX_ENDED_DEADLINES + 2 * len(self._pending):
-            # Requests that ended early leave their deadlines behind, up to
-            # ten minutes each; at full speed they would fill the memory.
+            # The deadlines of requests that ended early stay for up to ten
+            # minutes; at full load they would exhaust the memory.
             self._deadlines = [d for d in self._deadlines if d[1] in self._pending]
             heapq.heapify(self._deadlines)
         heapq.heappush(self._deadlines, (deadline, key))
@@ -149,21 +149,22 @@
     ) -> Failure | None:
         now = waiting.arrived_at
         if self._drain_ends_at is not None and waiting.deadline > self._drain_ends_at:
-            # A connection kept open may still bring requests; those that fit
-            # into the time left are served, the others would be cut.
+            # Requests still arrive over open connections. Those that can end in
+            # the time left are served; the others would be aborted.
             return Draining(reason="this gateway is stopping", retry_after_s=1.0)
         if waiting.deadline <= now:
             return _make_deadline_too_near()
-        room = self._targets.measure_capacity(
+        capacity = self._targets.measure_capacity(
             service, steering.targets, self._configuration.current
         )
-        if not room:
+        if not capacity:
             return NoTarget(
-                reason=f"no target of {service!r}", retry_after_s=NO_TARGET_RETRY_S
+                reason=f"no target of service {service!r}",
+                retry_after_s=NO_TARGET_RETRY_S,
             )
         return self._find_queues(service).admit(
             waiting,
-            room=room,
+            room=capacity,
             in_flight=self.in_flight[service],
             expected_s=self._targets.estimate_latency(service),
             request_share=self._find_organisation(steering).request_share,
@@ -183,7 +184,7 @@
         self._wake.set()
 
     def begin_drain(self, ends_at: float) -> None:
-        """Take only what can end before a monotonic time from now on."""
+        """From now on admit only requests due before a monotonic time."""
         self._drain_ends_at = ends_at
 
 
--- a/src/firladder/_internal/gateway/routes.py
+++ b/src/firladder/_internal/gateway/routes.py
@@ -37,18 +37,18 @@
 
 
 def reply_value(value: Any, *, status: int = 200) -> HttpReply:
-    """Return a value or a failure, each with its status."""
+    """Return the reply that carries a value or a failure, with its status."""
     if isinstance(value, Failure):
         return reply_failure(value)
     return reply_json(value, status=status)
 
 
 def check_operator(app: Any, call: HttpCall) -> Unauthorised | None:
-    """Return why a call is not an operator's, if a token is set."""
+    """Return a failure if a token is set and the call does not carry it."""
     token = app.read("operator_token")
     given = call.headers.get("authorization", "")
-    # Compared in constant time: the time of a plain comparison tells a stranger
-    # how much of a guessed token is right.
+    # Compared in constant time: the duration of a plain comparison would reveal
+    # how much of a guessed token is correct.
     if token and not hmac.compare_digest(given.encode(), f"Bearer {token}".encode()):
         return Unauthorised(reason="the operators' token is needed")
     return None
@@ -56,7 +56,7 @@
 
 @routes.route("POST", "/v1/tickets")
 async def mint_tickets(app: Any, call: HttpCall) -> HttpReply:
-    """Mint ids for requests that must run at most once."""
+    """Return new ids for requests that must run at most once."""
     req = decode_json(call.body or b"{}", TicketRequest)
     if isinstance(req, Failure):
         return reply_failure(req)
@@ -89,7 +89,7 @@
 
 @routes.route("GET", "/v1/jobs")
 async def list_jobs(app: Any, call: HttpCall) -> HttpReply:
-    """List jobs."""
+    """Return the jobs of an organisation, in a state, or all."""
     found = await app.jobs.list_jobs(
         organisation=call.query.get("organisation", ""),
         state=call.query.get("state", ""),
@@ -99,13 +99,13 @@
 
 @routes.route("GET", "/v1/jobs/{job}")
 async def find_job(app: Any, call: HttpCall) -> HttpReply:
-    """Look a job up."""
+    """Return a job."""
     return reply_value(await app.jobs.find(call.params["job"]))
 
 
 @routes.route("DELETE", "/v1/jobs/{job}")
 async def cancel_job(app: Any, call: HttpCall) -> HttpReply:
-    """Ask for a job's end."""
+    """Request the cancellation of a job."""
     result = await app.jobs.cancel(call.params["job"])
     done = isinstance(result, JobRecord) and result.state == "finished"
     return reply_value(result, status=200 if done else 202)
@@ -113,7 +113,7 @@
 
 @routes.route("GET", "/v1/config")
 async def show_configuration(app: Any, call: HttpCall) -> HttpReply:
-    """Return the configuration in force here."""
+    """Return the configuration in force at this gateway."""
     failure = check_operator(app, call)
     if failure is not None:
         return reply_failure(failure)
@@ -134,7 +134,7 @@
 
 @routes.route("GET", "/v1/status")
 async def show_status(app: Any, call: HttpCall) -> HttpReply:
-    """Return the state of the fleet as seen from here."""
+    """Return the state of the fleet as known to this gateway."""
     status = await describe_fleet(
         own_heartbeat=app.describe(),
         peers=app.membership.list_all(),
--- a/src/firladder/_internal/gateway/status.py
+++ b/src/firladder/_internal/gateway/status.py
@@ -1,4 +1,4 @@
-"""Tell operators how the fleet stands, and what cannot be seen from here."""
+"""Describe the state of the fleet to operators, including unreachable parts."""
 
 import asyncio
 import itertools
@@ -14,7 +14,7 @@
 async def describe_fleet(
     *, own_heartbeat: Heartbeat, peers: list[Peer], fabric: Fabric, now: float
 ) -> FleetStatus:
-    """Return the state of every failure domain this gateway has heard of."""
+    """Return the state of every failure domain known to this gateway."""
     known = [(own_heartbeat, 0.0, True)] + [
         (p.heartbeat, now - p.heard_at, not p.lost) for p in peers
     ]
@@ -48,8 +48,8 @@
     )
     base = DomainStatus(
         failure_domain=domain,
-        # Of a failure domain that is cut off the last known revision is shown:
-        # a 0 would look like a reset configuration.
+        # For an unreachable failure domain the last known revision is shown, as
+        # 0 would look like a reset configuration.
         in_force=min(
             b.revision for b in alive or [heartbeat for heartbeat, _, _ in rows]
         ),
--- a/src/firladder/_internal/gateway/targets.py
+++ b/src/firladder/_internal/gateway/targets.py
@@ -1,4 +1,4 @@
-"""This gateway's own view of the targets: room, latency and failures."""
+"""This gateway's view of the targets: free capacity, latency and failures."""
 
 import dataclasses
 from collections.abc import Iterable, Mapping
@@ -13,26 +13,25 @@
 from ..policies.sharing import SharingPolicy
 
 Demands = Mapping[str, Mapping[str, int]]
-"""Requests queued and in flight: by service, then by the gateway's address."""
-
+"""Requests queued and in flight, by service and by the gateway's address."""
 
 PANIC_DIVISOR = 2
-"""When more than one in so many targets are left alone, none is any more."""
+"""If more than one in this many targets are on probe, none is restricted."""
 
 LATENCY_WEIGHT = 0.1
-"""Weight of one answer in what the next request is expected to take."""
+"""Weight of one answer in the moving average of the latency."""
 
 RECOVERY_LATENCY_WEIGHT = 0.3
-"""The same for an answer in less than half of that time: after a slow spell a
-few single requests must be enough to admit callers again."""
+"""The same for an answer in less than half the average. After a slow phase a few
+answers must be enough to admit callers again."""
 
 MEDIAN_INTERVAL = 16
-"""Answers after which the median latency is worked out anew."""
+"""Number of answers between updates of the median latencies."""
 
 
 @dataclasses.dataclass(slots=True)
 class TargetState:
-    """What this gateway remembers of one target."""
+    """What this gateway knows about a target."""
 
     machine: Machine
     score: TargetStats = dataclasses.field(default_factory=TargetStats)
@@ -41,12 +40,12 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether the target, a peer or the VM list says that it leaves."""
+        """Return whether the target, a peer or the VM list says it is leaving."""
         return self.leaving or self.machine.state == "leaving"
 
 
 class TargetTable:
-    """All targets this gateway knows."""
+    """All targets known to this gateway."""
 
     def __init__(
         self, *, inventory: Inventory, own_address: str, share: SharingPolicy
@@ -64,7 +63,7 @@
         self.states: dict[str, TargetState] = {}
 
     def refresh(self) -> None:
-        """Take over the VM list's targets, keeping what was learnt of each."""
+        """Update the targets from the VM list, keeping the state of known ones."""
         machines = {m.name: m for m in self._inventory.list_role("target")}
         for name in set(self.states) - set(machines):
             del self.states[name]
@@ -78,7 +77,7 @@
         self._share_slots()
 
     def set_demands(self, demands: Demands) -> None:
-        """Work the shares out anew from all gateways' demands."""
+        """Recompute the shares from the demands of all gateways."""
         self._demands = demands
         self._share_slots()
 
@@ -97,23 +96,23 @@
     def list_views(
         self, service: str, selector: Selector, configuration: Configuration, now: float
     ) -> list[TargetView]:
-        """Return the targets that the selector admits and that have room now.
+        """Return the targets that the selector matches and that have a free slot.
 
-        Full targets are left out before anything is built for them: under
-        saturation nearly all are full at every look.
+        Full targets are skipped before their views are built: under saturation
+        nearly all targets are full.
         """
         states = self._list_staying(service, selector, configuration)
         probing = sum(s.score.on_probe for s in states)
-        # When most targets look bad at once, the fault is more likely in the
-        # requests or in this gateway: leaving them all would serve nobody.
+        # If most targets seem to fail at once, the cause is more likely in the
+        # requests or in this gateway; avoiding all targets would serve nobody.
         trusted = probing * PANIC_DIVISOR <= len(states)
         no_shares = not any(s.share for s in states)
         views = []
         for state in states:
             share = state.share
             if no_shares and state is states[0]:
-                # More gateways than slots: one request at a time must still go
-                # out, or this gateway's callers would wait for ever.
+                # With more gateways than slots this gateway still sends one
+                # request at a time, or its callers would wait forever.
                 share = 1
             if trusted and state.score.on_probe:
                 share = min(share, 1)
@@ -124,7 +123,7 @@
     def measure_capacity(
         self, service: str, selector: Selector, configuration: Configuration
     ) -> int:
-        """Return how many requests may be at the admitted targets; 0 if none is."""
+        """Return how many requests the matching targets may run; 0 without targets."""
         states = self._list_staying(service, selector, configuration)
         return max(1, sum(s.share for s in states)) if states else 0
 
@@ -152,7 +151,7 @@
         return found
 
     def record_success(self, name: str, latency_s: float, now: float) -> None:
-        """Learn from an answer."""
+        """Update the score of a target and the latencies with an answer."""
         state = self.states.get(name)
         if state is None:
             return
@@ -169,21 +168,22 @@
             self._median_s.clear()
 
     def record_failure(self, name: str, now: float) -> None:
-        """Learn from a failure."""
+        """Update the score of a target with a failure."""
         state = self.states.get(name)
         if state is not None:
             state.score.record_failure(now)
 
     def estimate_latency(self, service: str) -> float:
-        """Return what the next request is expected to take, from the latest ones.
+        """Return the expected latency of the next request, in seconds.
 
-        Not the median over the targets: while only single requests go out,
-        that would follow a recovery once each target has been tried often.
+        This is a moving average over the latest answers. The median over the
+        targets would show a recovery only after several requests to each target,
+        which takes too long while few requests are admitted.
         """
         return self._expected_s.get(service, INITIAL_LATENCY_S)
 
     def find_typical_latency(self, service: str) -> float:
-        """Return the median latency of the targets of a service."""
+        """Return the median latency of the targets of a service, in seconds."""
         found = self._median_s.get(service)
         if found is None:
             states = self.states.values()
@@ -193,7 +193,7 @@
         return found
 
     def list_leaving(self, failure_domain: str) -> tuple[str, ...]:
-        """Return the targets of a failure domain that told us that they leave."""
+        """Return the targets of a failure domain that report that they are leaving."""
         return tuple(
             sorted(
                 name
@@ -205,15 +205,15 @@
     def update_leaving(
         self, heartbeats: Iterable[Heartbeat], *, own_domain: str
     ) -> list[str]:
-        """Take over what gateways elsewhere say of their targets; return the news.
+        """Update the leaving targets of other failure domains; return new ones.
 
-        A failure domain that is silent changes nothing: a target must not
-        count as live again because nobody can be asked.
+        A failure domain without heartbeats changes nothing: a target must not
+        count as live again only because no gateway reports on it.
         """
         by_domain: dict[str, set[str]] = {}
-        for beat in heartbeats:
-            names = by_domain.setdefault(beat.identity.failure_domain, set())
-            names.update(beat.leaving_targets)
+        for heartbeat in heartbeats:
+            names = by_domain.setdefault(heartbeat.identity.failure_domain, set())
+            names.update(heartbeat.leaving_targets)
         newly_leaving = []
         for name, state in self.states.items():
             domain = state.machine.failure_domain
