--- a/features/requests_input.feature
+++ b/features/requests_input.feature
@@ -3,9 +3,9 @@
   Background:
     Given a request site
 
-  Scenario Outline: A request that is wrong
-    A client's defect must show as such at once: with the field, and without
-    anything having run. A truncated or guessed request could run as another.
+  Scenario Outline: An invalid request
+    A defect of a client must be reported with the field, before anything runs.
+    If a truncated request were completed by guesses, another request would run.
 
     When a caller sends a request with <change>
     Then it is refused with <status>, "<type>" and field "<field>"
@@ -39,21 +39,21 @@
       | a service named "A B"    | 422    | invalid_value  | service         |
 
   Scenario Outline: An id comes again with another body
-    Two clients made up the same id, or one changed its mind. The second must
-    not be taken for a retry and get the other's answer.
+    Two clients chose the same id, or one changed its request. The second
+    request must not be taken for a retry and get the answer to the first.
 
-    When a delivery is sent at "bern-halle-1"
-    Then try 1 is answered "done"
+    When a single-run request is sent at "bern-halle-1"
+    Then attempt 1 is answered "done"
     When the same id is sent at "<other>" with another body
     Then it is refused with 409, "duplicate_id" and field "id"
-    And the delivery ran 1 time
+    And the request ran 1 time
 
     Examples:
       | other         |
       | bern-halle-1  |
       | olten-halle-1 |
 
-  Scenario Outline: A call for tickets that is wrong
+  Scenario Outline: An invalid call for tickets
     When a caller asks for tickets with <body>
     Then it is refused with 400, "malformed_body" and field "<field>"
 
--- a/features/requests_leaving.feature
+++ b/features/requests_leaving.feature
@@ -1,50 +1,51 @@
-Feature: A leaving target gets no new work after a few seconds
+Feature: A leaving target gets no new requests after a few seconds
 
   Background:
     Given a request site with 2 targets in each failure domain
-    And callers ask at every gateway without a pause
+    And callers continuously send idempotent requests at every gateway
 
   Scenario: The VM list lags behind a target that leaves
-    The target knows that it will stop and says so, but the platform's list
-    still calls it live. Requests sent to it now would be cut when it stops.
+    The target reports that it will stop, but the platform's list still shows it
+    as live. Requests sent to it now would be aborted when it stops.
 
-    When the first target says that it leaves
-    Then it gets no new work after 3 s
+    When the first target reports that it is leaving
+    Then it gets no new requests after 3 s
 
   Scenario: A target leaves while it is the fastest
-    The others are busy with long work, so everything pulls new work towards
-    the very target that is about to go.
+    The other targets are much slower, so the routing prefers the target that is
+    leaving.
 
     Given the first target is 20 times faster than the others
-    When the first target says that it leaves
-    Then it gets no new work after 3 s
+    When the first target reports that it is leaving
+    Then it gets no new requests after 3 s
 
-  Scenario: A target leaves while the store is down
-    No list can be read and nothing can be written; the target's own word must
-    reach the gateways of the other failure domain all the same.
+  Scenario: A target leaves while the store is unavailable
+    The VM list cannot be read and nothing can be written. The target's own
+    report must still reach the gateways of the other failure domain.
 
-    Given the store is down
-    When the first target says that it leaves
-    Then it gets no new work after 3 s
+    Given the store is unavailable
+    When the first target reports that it is leaving
+    Then it gets no new requests after 3 s
 
-  Scenario: A target leaves while the failure domains are cut off each other
-    Nobody over there can pass its word on, so it has to be asked for.
+  Scenario: A target leaves while the failure domains are partitioned
+    No gateway of the target's failure domain can relay its report, so the other
+    gateways must probe the target themselves.
 
-    Given the failure domains do not hear each other
-    When the first target says that it leaves
-    Then it gets no new work after 3 s
+    Given the failure domains receive no heartbeats from each other
+    When the first target reports that it is leaving
+    Then it gets no new requests after 3 s
 
-  Scenario: A leaving target falls silent
-    It stops answering while it shuts down. Silence is no sign that it is back
-    in service: a request sent now would be lost with it.
+  Scenario: A leaving target stops answering
+    The target does not answer probes while it shuts down. That must not count
+    as being back in service: a request sent now would be lost.
 
-    When the first target says that it leaves
-    Then it gets no new work after 3 s
+    When the first target reports that it is leaving
+    Then it gets no new requests after 3 s
     When the first target freezes for 2 s
-    Then it gets no new work after 0 s
+    Then it gets no new requests after 0 s
 
   Scenario: The VM list alone says that a target leaves
-    The platform has marked the VM, but the target was not told yet.
+    The platform has marked the VM as leaving before the target knows it.
 
-    When the VM list says that the first target leaves
-    Then it gets no new work after 3 s
+    When the VM list shows the first target as leaving
+    Then it gets no new requests after 3 s
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -3,221 +3,230 @@
 
 from behave import given, step, then, when
 
-from features.support.requests import HalfwayTarget, use_site
+from features.support.requests import ResettingTarget, use_site
 from standins.site import wait_for
 
 
-class Delivery:
-    """One request that must run at most once, and all tries of it."""
+class SingleRunRequest:
+    """A request that must run at most once, and all attempts at it."""
 
-    def __init__(self, desk, **fields):
-        self.desk = desk
-        self.request = desk.make(**fields)
-        self.tries = []
+    def __init__(self, request_site, **fields):
+        self.request_site = request_site
+        self.request = request_site.make(**fields)
+        self.attempts = []
 
     def send(self, vm, **fields):
-        self.tries.append(self.desk.send(vm, {**self.request, **fields}))
+        self.attempts.append(self.request_site.send(vm, {**self.request, **fields}))
 
     def answer(self, number):
-        return self.tries[number - 1].result(40)
+        return self.attempts[number - 1].result(40)
 
-    def send_and_leave(self, vm):
-        host, _, port = self.desk.address(vm).rpartition(":")
+    def send_and_disconnect(self, vm):
+        host, _, port = self.request_site.address(vm).rpartition(":")
         connection = http.client.HTTPConnection(host, int(port))
-        path = f"/v1/services/{self.desk.site.layout.service}/requests"
+        path = f"/v1/services/{self.request_site.site.layout.service}/requests"
         connection.request("POST", path, body=json.dumps(self.request).encode())
-        wait_for(lambda: self.desk.count(self.request["id"], "arrivals"), 10)
+        wait_for(lambda: self.request_site.count(self.request["id"], "arrivals"), 10)
         connection.close()
 
 
 @given("a request site")
 def start(context):
-    context.desk = use_site(context)
+    context.request_site = use_site(context)
 
 
 @given("the targets take {run_s:g} s")
-def slow_down(context, run_s):
-    context.desk.behave(run_s=run_s)
+def set_run_time(context, run_s):
+    context.request_site.set_behaviour(run_s=run_s)
 
 
 @given('the targets answer in mode "{mode}"')
-def misbehave(context, mode):
-    context.desk.behave(mode=mode)
+def set_mode(context, mode):
+    context.request_site.set_behaviour(mode=mode)
 
 
-@when('a delivery is sent at "{vm}"')
-@when('a delivery with an own id is sent at "{vm}"')
+@when('a single-run request is sent at "{vm}"')
+@when('a single-run request with its own id is sent at "{vm}"')
 def send_first(context, vm):
-    context.delivery = Delivery(context.desk)
-    context.delivery.send(vm)
+    context.single_run = SingleRunRequest(context.request_site)
+    context.single_run.send(vm)
 
 
-@when('a delivery is sent at "{vm}" with a deadline of {deadline_ms:d} ms')
-def send_hurried(context, vm, deadline_ms):
-    context.delivery = Delivery(context.desk)
-    context.delivery.send(vm, deadline_ms=deadline_ms)
+@when('a single-run request is sent at "{vm}" with a deadline of {deadline_ms:d} ms')
+def send_with_deadline(context, vm, deadline_ms):
+    context.single_run = SingleRunRequest(context.request_site)
+    context.single_run.send(vm, deadline_ms=deadline_ms)
 
 
-@when('a delivery with a ticket of "{owner}" is sent at "{vm}"')
+@when('a single-run request with a ticket of "{owner}" is sent at "{vm}"')
 def send_ticket(context, owner, vm):
-    context.delivery = Delivery(context.desk, id=context.desk.mint(owner))
-    context.delivery.send(vm)
+    context.single_run = SingleRunRequest(
+        context.request_site, id=context.request_site.mint(owner)
+    )
+    context.single_run.send(vm)
 
 
 @when(
-    'a delivery with a ticket of "{owner}" is sent at "{vm}" '
+    'a single-run request with a ticket of "{owner}" is sent at "{vm}" '
     "with a deadline of {deadline_ms:d} ms"
 )
-def send_ticket_hurried(context, owner, vm, deadline_ms):
-    context.delivery = Delivery(context.desk, id=context.desk.mint(owner))
-    context.delivery.send(vm, deadline_ms=deadline_ms)
+def send_ticket_with_deadline(context, owner, vm, deadline_ms):
+    context.single_run = SingleRunRequest(
+        context.request_site, id=context.request_site.mint(owner)
+    )
+    context.single_run.send(vm, deadline_ms=deadline_ms)
 
 
-@when('another delivery with a ticket of "{owner}" has gone the same way')
+@when('another single-run request with a ticket of "{owner}" was relayed the same way')
 def send_after(context, owner):
-    other = Delivery(context.desk, id=context.desk.mint(owner))
+    other = SingleRunRequest(context.request_site, id=context.request_site.mint(owner))
     other.send("olten-halle-1")
     assert other.answer(1).body["outcome"] == "done", other.answer(1)
 
 
-@when('a delivery marked as its first attempt is sent at "{vm}"')
+@when('a single-run request marked as its first attempt is sent at "{vm}"')
 def send_marked(context, vm):
-    context.delivery = Delivery(context.desk, attempt=1)
-    context.delivery.send(vm)
+    context.single_run = SingleRunRequest(context.request_site, attempt=1)
+    context.single_run.send(vm)
 
 
-@when('a delivery is sent at "{vm}" by a caller who leaves')
-def send_and_leave(context, vm):
-    context.delivery = Delivery(context.desk)
-    context.delivery.send_and_leave(vm)
+@when('a single-run request is sent at "{vm}" by a caller who disconnects')
+def send_and_disconnect(context, vm):
+    context.single_run = SingleRunRequest(context.request_site)
+    context.single_run.send_and_disconnect(vm)
 
 
-@when('the delivery is sent again at "{vm}"')
+@when('the request is sent again at "{vm}"')
 def send_again(context, vm):
-    context.delivery.send(vm)
+    context.single_run.send(vm)
 
 
-@when('the delivery is sent again at "{vm}" with a deadline of {deadline_ms:d} ms')
-def send_again_hurried(context, vm, deadline_ms):
-    context.delivery.send(vm, deadline_ms=deadline_ms)
+@when('the request is sent again at "{vm}" with a deadline of {deadline_ms:d} ms')
+def send_again_with_deadline(context, vm, deadline_ms):
+    context.single_run.send(vm, deadline_ms=deadline_ms)
 
 
-@when('a large delivery is sent at "{vm}" to a target that breaks off halfway')
-def send_halfway(context, vm):
-    desk = context.desk
-    context.halfway = HalfwayTarget(desk.site)
-    context.delivery = Delivery(desk, body={"plan": "x" * 250_000})
+@when(
+    'a large single-run request is sent at "{vm}" to a target that resets connections'
+)
+def send_to_resetting_target(context, vm):
+    request_site = context.request_site
+    context.resetting_target = ResettingTarget(request_site.site)
+    context.single_run = SingleRunRequest(request_site, body={"plan": "x" * 250_000})
 
-    # Both gateways of the failure domain probe it once they know it. Nothing is
-    # sent to find out: its failures would make them pause, and hide a retry.
-    wait_for(lambda: context.halfway.probes >= 6, 20, "probes of the target")
-    request = context.delivery.request
-    context.delivery.tries.append(desk.send(vm, request, HalfwayTarget.service))
+    # Both gateways of the failure domain probe the target once they know it. No
+    # request is sent to check that: a failure would make the gateways avoid the
+    # target, and hide a retry.
+    wait_for(lambda: context.resetting_target.probes >= 6, 20, "probes of the target")
+    request = context.single_run.request
+    context.single_run.attempts.append(
+        request_site.send(vm, request, ResettingTarget.service)
+    )
 
 
 @then("the target was connected to 1 time for it")
-def check_halfway(context):
-    assert context.halfway.posts == 1, context.halfway.posts
+def check_connections(context):
+    assert context.resetting_target.posts == 1, context.resetting_target.posts
 
 
-@when("{count:d} copies of a delivery are sent at once")
+@when("{count:d} copies of a single-run request are sent at once")
 def send_copies(context, count):
-    context.delivery = Delivery(context.desk)
-    names = context.desk.site.list_gateways()
+    context.single_run = SingleRunRequest(context.request_site)
+    names = context.request_site.site.list_gateways()
     for number in range(count):
-        context.delivery.send(names[number % len(names)].split("/")[0])
+        context.single_run.send(names[number % len(names)].split("/")[0])
 
 
-@step("its run has begun")
+@step("its run has started")
 def wait_run(context):
-    context.desk.wait_runs(context.delivery.request["id"])
+    context.request_site.wait_runs(context.single_run.request["id"])
 
 
-@then('try {number:d} is answered "{outcome}"')
+@then('attempt {number:d} is answered "{outcome}"')
 def check_outcome(context, number, outcome):
-    answer = context.delivery.answer(number)
+    answer = context.single_run.answer(number)
     assert answer.body["outcome"] == outcome, answer
     if outcome == "done":
-        assert answer.body["body"]["echo"] == context.delivery.request["body"], answer
+        assert answer.body["body"]["echo"] == context.single_run.request["body"], answer
     context.answer = answer
 
 
-@then('try {number:d} is answered "{outcome}" before {limit_s:g} s')
+@then('attempt {number:d} is answered "{outcome}" before {limit_s:g} s')
 def check_outcome_in_time(context, number, outcome, limit_s):
     check_outcome(context, number, outcome)
-    assert context.answer.spent_s < limit_s, context.answer
+    assert context.answer.elapsed_s < limit_s, context.answer
 
 
-@then('every try is answered "{outcome}"')
+@then('every attempt is answered "{outcome}"')
 def check_outcomes(context, outcome):
-    for number in range(len(context.delivery.tries)):
+    for number in range(len(context.single_run.attempts)):
         check_outcome(context, number + 1, outcome)
 
 
-@then('the delivery is "{outcome}" in the end at "{vm}"')
+@then('the request is eventually answered "{outcome}" at "{vm}"')
 def check_end(context, outcome, vm):
     def ask():
-        context.delivery.send(vm)
-        return context.delivery.tries[-1].result(40).body["outcome"] == outcome
+        context.single_run.send(vm)
+        return context.single_run.attempts[-1].result(40).body["outcome"] == outcome
 
     wait_for(ask, 20, f"outcome {outcome}")
 
 
-@then("it names a time to come back")
+@then("it has a retry time")
 def check_retry_after(context):
     assert context.answer.body["retry_after_s"] > 0, context.answer
 
 
-@then("the delivery ran {count:d} time")
-@then("the delivery ran {count:d} times")
+@then("the request ran {count:d} time")
+@then("the request ran {count:d} times")
 def check_runs(context, count):
-    runs = context.desk.count(context.delivery.request["id"])
+    runs = context.request_site.count(context.single_run.request["id"])
     assert runs == count, runs
 
 
-@then("the delivery arrived {count:d} time")
+@then("the request arrived {count:d} time")
 def check_arrivals(context, count):
-    arrivals = context.desk.count(context.delivery.request["id"], "arrivals")
+    arrivals = context.request_site.count(context.single_run.request["id"], "arrivals")
     assert arrivals == count, arrivals
 
 
-@given("the failure domains are already cut off each other")
-@when("the failure domains are cut off each other")
-def cut(context):
-    context.desk.site.cut(context.desk.site.layout.domains)
+@given("the failure domains are already partitioned from each other")
+@when("the failure domains are partitioned from each other")
+def partition(context):
+    context.request_site.site.cut(context.request_site.site.layout.domains)
 
 
-@when("the cut heals")
-def heal_cut(context):
-    context.desk.heal()
+@when("the partition ends")
+def end_partition(context):
+    context.request_site.heal()
 
 
 @when('gateway "{vm}" is killed')
 def kill_gateway(context, vm):
-    context.desk.site.child(f"{vm}/gateway").kill()
+    context.request_site.site.child(f"{vm}/gateway").kill()
 
 
 @when('gateway "{vm}" is started again')
 def restart_gateway(context, vm):
-    context.desk.heal()
+    context.request_site.heal()
 
 
 @step("every target is killed")
 def kill_targets(context):
-    for name in context.desk.list_targets():
-        context.desk.site.child(name).kill()
+    for name in context.request_site.list_targets():
+        context.request_site.site.child(name).kill()
 
 
 @when("every target is started again")
 def restart_targets(context):
-    context.desk.heal()
+    context.request_site.heal()
 
 
 @given("the store loses {count:d} answer to a claim")
 def lose_answers(context, count):
-    context.desk.site.set_faults(lose_answers=count, lose_key="claims/")
+    context.request_site.site.set_faults(lose_answers=count, lose_key="claims/")
 
 
-@given("the store is down")
+@given("the store is unavailable")
 def stop_store(context):
-    context.desk.site.set_faults(outage=True)
+    context.request_site.site.set_faults(outage=True)
--- a/features/steps/requests_stop_steps.py
+++ b/features/steps/requests_stop_steps.py
@@ -10,20 +10,20 @@
 from features.support.requests import use_site
 from standins.site import call, wait_for
 
-WINDOW = 100
-"""Requests that go elsewhere while the leaving target must get none."""
+MIN_OTHER_REQUESTS = 100
+"""Requests served by other targets while the leaving one must get none."""
 
 
 class LeavingTarget:
-    """The first target, on its way out."""
+    """The first target, which is leaving."""
 
-    def __init__(self, desk):
-        self.desk = desk
-        self.name = desk.list_targets()[0]
+    def __init__(self, request_site):
+        self.request_site = request_site
+        self.name = request_site.list_targets()[0]
         self.left_at = time.monotonic()
 
     def count(self):
-        address = self.desk.site.addresses[self.name]
+        address = self.request_site.site.addresses[self.name]
         return sum(call(address, "GET", "/control/runs")[1]["arrivals"].values())
 
 
@@ -32,75 +32,81 @@
 
 
 def start_load(context, **fields):
-    context.load = SteadyLoad(context.desk, **fields)
+    context.load = SteadyLoad(context.request_site, **fields)
     context.add_cleanup(context.load.stop)
     wait_for(lambda: len(context.load.done) > 20, 20, "load")
 
 
 @given("a request site with {targets:d} targets in each failure domain")
-def start_larger(context, targets):
-    context.desk = use_site(context, targets=targets)
-    context.desk.site.publish_machines()
+def start_with_targets(context, targets):
+    context.request_site = use_site(context, targets=targets)
+    context.request_site.site.publish_machines()
 
 
-@given("callers ask at every gateway without a pause")
-def ask_steadily(context):
-    context.desk.behave(run_s=0.02)
+@given("callers continuously send idempotent requests at every gateway")
+def start_idempotent_load(context):
+    context.request_site.set_behaviour(run_s=0.02)
     start_load(context, idempotent=True)
-    wait_senders(context.desk)
+    wait_senders(context.request_site)
 
 
-def list_events(desk, name, after=0):
+def list_events(request_site, name, after=0):
     path = f"/v1/events?after={after}"
-    return call(desk.site.addresses[name], "GET", path)[1]["events"]
+    return call(request_site.site.addresses[name], "GET", path)[1]["events"]
 
 
-def list_admitted(desk, vm):
-    events = list_events(desk, f"{vm}/gateway")
+def list_admitted(request_site, vm):
+    events = list_events(request_site, f"{vm}/gateway")
     return {e["details"].get("request") for e in events if e["number"] == 200}
 
 
-def wait_senders(desk):
-    """Wait until every gateway sends work to the first target."""
-    target = desk.list_targets()[0]
-    for name in desk.site.list_gateways():
-        last = max(e["clock"] for e in list_events(desk, name))
+def wait_senders(request_site):
+    """Wait until every gateway sends requests to the first target."""
+    target = request_site.list_targets()[0]
+    for name in request_site.site.list_gateways():
+        last = max(e["clock"] for e in list_events(request_site, name))
 
         def sends(name=name, last=last):
-            seen = list_events(desk, name, last)
+            seen = list_events(request_site, name, last)
             return any(e["details"].get("target") == target for e in seen)
 
-        # The scenario before may have left the target alone for up to 15 s twice.
+        # After the previous scenario gateways may avoid the target twice for 15 s.
         wait_for(sends, 60, f"work from {name} at {target}")
 
 
 @given("the first target is {factor:d} times faster than the others")
 def speed_up(context, factor):
-    context.desk.behave(run_s=0.005 * factor)
-    context.desk.site.behave(context.desk.list_targets()[0], run_s=0.005)
+    context.request_site.set_behaviour(run_s=0.005 * factor)
+    context.request_site.site.behave(
+        context.request_site.list_targets()[0], run_s=0.005
+    )
     time.sleep(0.5)
 
 
-@given("the failure domains do not hear each other")
-def cut_and_wait(context):
-    site = context.desk.site
+@given("the failure domains receive no heartbeats from each other")
+def partition_and_wait(context):
+    site = context.request_site.site
     site.cut(site.layout.domains)
-    near = len(site.list_gateways()) // len(site.layout.domains)
+    local_count = len(site.list_gateways()) // len(site.layout.domains)
     for name in site.list_gateways():
-        wait_for(lambda n=name: context.desk.count_gateways(n) == near, 30, "a cut")
-    wait_senders(context.desk)
+        wait_for(
+            lambda n=name: context.request_site.count_gateways(n) == local_count,
+            30,
+            "a partition",
+        )
+    wait_senders(context.request_site)
 
 
-@when("the first target says that it leaves")
+@when("the first target reports that it is leaving")
 def leave(context):
-    context.leaving = LeavingTarget(context.desk)
-    context.desk.site.behave(context.leaving.name, state="leaving", run_s=0.005)
+    context.leaving = LeavingTarget(context.request_site)
+    context.request_site.site.behave(context.leaving.name, state="leaving", run_s=0.005)
 
 
-@when("the VM list says that the first target leaves")
+@when("the VM list shows the first target as leaving")
 def list_leaving(context):
-    context.leaving = LeavingTarget(context.desk)
-    site = context.desk.site
+    context.leaving = LeavingTarget(context.request_site)
+    site = context.request_site.site
     machine = next(m for m in site.machines if m["name"] == context.leaving.name)
     key = f"platform/vms/{machine['name']}"
     site.put_key(key, {**machine, "state": "leaving"})
@@ -108,49 +114,51 @@
 
 @when("the first target freezes for {pause_s:g} s")
 def freeze(context, pause_s):
-    child = context.desk.site.child(context.leaving.name)
+    child = context.request_site.site.child(context.leaving.name)
     context.leaving.before = context.leaving.count()
     child.signal(signal.SIGSTOP)
     time.sleep(pause_s)
     child.signal(signal.SIGCONT)
 
 
-@then("it gets no new work after {limit_s:g} s")
+@then("it gets no new requests after {limit_s:g} s")
 def check_no_work(context, limit_s):
     leaving, load = context.leaving, context.load
     if limit_s:
         time.sleep(max(0.0, leaving.left_at + limit_s - time.monotonic()))
         leaving.before = leaving.count()
     done = len(load.done)
-    wait_for(lambda: len(load.done) >= done + WINDOW, 30, "work elsewhere")
+    wait_for(lambda: len(load.done) >= done + MIN_OTHER_REQUESTS, 30, "work elsewhere")
     assert leaving.count() == leaving.before, (leaving.before, leaving.count())
 
 
 @given('gateway "{vm}" may take {limit_s:d} s to stop')
 def limit_stop(context, vm, limit_s):
     name = f"{vm}/gateway"
-    context.desk.site.child(name).stop()
-    context.desk.site.start_process(name, drain_s=str(limit_s))
-    context.desk.heal()
+    context.request_site.site.child(name).stop()
+    context.request_site.site.start_process(name, drain_s=str(limit_s))
+    context.request_site.heal()
 
 
-@when('{count:d} callers ask at "{vm}"')
+@when('{count:d} callers send requests at "{vm}"')
 def ask_many(context, count, vm):
-    desk = context.desk
-    context.requests = [desk.make(deadline_ms=20_000) for _ in range(count)]
-    context.sent = [desk.send(vm, request) for request in context.requests]
+    request_site = context.request_site
+    context.requests = [request_site.make(deadline_ms=20_000) for _ in range(count)]
+    context.sent = [request_site.send(vm, request) for request in context.requests]
     known = {request["id"] for request in context.requests}
-    wait_for(lambda: known <= list_admitted(desk, vm), 20, "all requests queued")
+    wait_for(
+        lambda: known <= list_admitted(request_site, vm), 20, "all requests queued"
+    )
 
 
 @when('gateway "{vm}" is told to stop')
 def tell_stop(context, vm):
-    context.desk.site.child(f"{vm}/gateway").signal(signal.SIGTERM)
+    context.request_site.site.child(f"{vm}/gateway").signal(signal.SIGTERM)
 
 
-@when('gateway "{vm}" is told to stop until it is gone')
-def stop_again_and_again(context, vm):
-    child = context.desk.site.child(f"{vm}/gateway")
+@when('gateway "{vm}" is told to stop until it has exited')
+def repeat_stop(context, vm):
+    child = context.request_site.site.child(f"{vm}/gateway")
 
     def gone():
         child.signal(signal.SIGTERM)
@@ -163,11 +171,11 @@
 
 @when('gateway "{vm}" no longer listens')
 def wait_closed(context, vm):
-    host, _, port = context.desk.address(vm).rpartition(":")
+    host, _, port = context.request_site.address(vm).rpartition(":")
 
     def closed():
-        # The kernel answers a listening port at once, however busy the gateway
-        # is; before the port is closed, attempts are dropped without an answer.
+        # The kernel accepts connections to a listening port at once, however busy
+        # the gateway is. While the port is being closed, attempts time out.
         try:
             socket.create_connection((host, int(port)), timeout=0.2).close()
         except (ConnectionRefusedError, TimeoutError):
@@ -179,39 +187,43 @@
 
 @given('a caller with an open connection to "{vm}"')
 def open_connection(context, vm):
-    host, _, port = context.desk.address(vm).rpartition(":")
+    host, _, port = context.request_site.address(vm).rpartition(":")
     context.connection = http.client.HTTPConnection(host, int(port), timeout=30)
     context.connection.request("GET", "/health/live")
     context.connection.getresponse().read()
     assert context.connection.sock is not None
 
 
-@when("the caller asks on the open connection")
+@when("the caller sends a request on the open connection")
 def ask_on_open(context):
-    path = f"/v1/services/{context.desk.site.layout.service}/requests"
-    body = json.dumps(context.desk.make())
+    path = f"/v1/services/{context.request_site.site.layout.service}/requests"
+    body = json.dumps(context.request_site.make())
     context.connection.auto_open = 0
     context.connection.request("POST", path, body=body)
     context.answer = context.connection.getresponse()
     context.answered = json.loads(context.answer.read())
 
 
-@when('a caller leaves "{vm}" while a repeatable request waits there')
-def leave_queue(context, vm):
-    desk = context.desk
-    request = desk.make(idempotent=True, urgency="overnight", deadline_ms=20_000)
-    context.repeatable = request["id"]
-    host, _, port = desk.address(vm).rpartition(":")
+@when('a caller disconnects from "{vm}" while an idempotent request is queued there')
+def disconnect_while_queued(context, vm):
+    request_site = context.request_site
+    request = request_site.make(
+        idempotent=True, urgency="overnight", deadline_ms=20_000
+    )
+    context.idempotent_id = request["id"]
+    host, _, port = request_site.address(vm).rpartition(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=30)
-    path = f"/v1/services/{desk.site.layout.service}/requests"
+    path = f"/v1/services/{request_site.site.layout.service}/requests"
     connection.request("POST", path, body=json.dumps(request))
-    wait_for(lambda: request["id"] in list_admitted(desk, vm), 20, "a queued request")
+    wait_for(
+        lambda: request["id"] in list_admitted(request_site, vm), 20, "a queued request"
+    )
     connection.close()
 
 
-@then("the repeatable request ran nowhere")
+@then("the idempotent request ran nowhere")
 def check_left(context):
-    assert context.desk.count(context.repeatable, "arrivals") == 0
+    assert context.request_site.count(context.idempotent_id, "arrivals") == 0
 
 
 @then('the caller is answered "{outcome}" and told to close the connection')
@@ -236,45 +248,47 @@
 @then('those answered "not_run" did not run')
 def check_not_run(context):
     ids = [a.body["id"] for a in context.answers if a.body["outcome"] == "not_run"]
-    assert not any(context.desk.count(i, "arrivals") for i in ids)
+    assert not any(context.request_site.count(i, "arrivals") for i in ids)
 
 
 @then('gateway "{vm}" ended gracefully')
 def check_exit(context, vm):
-    assert context.desk.site.child(f"{vm}/gateway").process.wait(20) == 0
+    assert context.request_site.site.child(f"{vm}/gateway").process.wait(20) == 0
 
 
-@given("callers deliver plans at every gateway, and go elsewhere when refused")
-def deliver_steadily(context):
+@given(
+    "callers continuously send single-run requests and use another gateway when refused"
+)
+def start_single_run_load(context):
     start_load(context)
 
 
 @when('every gateway of "{domain}" is replaced in turn')
 def replace_gateways(context, domain):
-    desk = context.desk
-    for name in desk.site.list_gateways(domain):
-        child = desk.site.child(name)
+    request_site = context.request_site
+    for name in request_site.site.list_gateways(domain):
+        child = request_site.site.child(name)
         assert child.stop() == 0
         done = len(context.load.done)
         wait_for(lambda d=done: len(context.load.done) > d + 20, 20, "work elsewhere")
         child.restart()
-        address = desk.site.addresses[name]
+        address = request_site.site.addresses[name]
         wait_for(lambda a=address: is_ready(a), 20, "ready")
     done = len(context.load.done)
     wait_for(lambda: len(context.load.done) > done + 50, 20, "work everywhere")
 
 
-@then("no delivery was cut")
-def check_none_cut(context):
+@then("none of their requests was aborted")
+def check_none_aborted(context):
     context.load.stop()
     load = context.load
     assert not load.problems, (len(load.problems), len(load.done), load.problems[:4])
 
 
-@then("no delivery ran twice")
+@then("none of their requests ran twice")
 def check_single_runs(context):
-    site = context.desk.site
-    addresses = [site.addresses[n] for n in context.desk.list_targets()]
+    site = context.request_site.site
+    addresses = [site.addresses[n] for n in context.request_site.list_targets()]
     total = {}
     for address in addresses:
         for name, runs in call(address, "GET", "/control/runs")[1]["runs"].items():
--- a/features/support/requests.py
+++ b/features/support/requests.py
@@ -1,4 +1,4 @@
-"""Send callers' requests to a site, some at the same time, and count their runs."""
+"""Send concurrent requests to a test site, and count their runs."""
 
 import concurrent.futures
 import itertools
@@ -16,7 +16,7 @@
 DOMAINS = ("bern-halle", "olten-halle")
 
 
-class HalfwayTarget:
+class ResettingTarget:
     """A target that resets each connection in the middle of a request."""
 
     service = "halfway"
@@ -43,8 +43,8 @@
             received = connection.recv(1000)
             self.posts += received.startswith(b"POST")
             self.probes += received.startswith(b"GET")
-            # No lingering: what has not been read is lost, and the sender is
-            # reset while it still sends.
+            # With a linger time of 0 closing discards unread data and resets the
+            # connection while the sender still sends.
             option = struct.pack("ii", 1, 0)
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
             connection.close()
@@ -52,15 +52,15 @@
 
 @dataclass
 class Answer:
-    """What a caller got, and after how many seconds."""
+    """The answer that a caller got, and the time it took."""
 
     status: int
     body: dict[str, Any]
-    spent_s: float
+    elapsed_s: float
 
 
 class RequestSite:
-    """A small site, with its callers."""
+    """A small test site, with its callers."""
 
     def __init__(self, layout: Layout) -> None:
         self.site = Site(layout)
@@ -107,15 +107,15 @@
         return self.pool.submit(self._call, vm, request, service)
 
     def _call(self, vm: str, request: dict[str, Any], service: str) -> Answer:
-        begun = time.monotonic()
+        started = time.monotonic()
         path = f"/v1/services/{service or self.site.layout.service}/requests"
         status, body = call(self.address(vm), "POST", path, request)
-        return Answer(status, body, time.monotonic() - begun)
+        return Answer(status, body, time.monotonic() - started)
 
     def list_targets(self) -> list[str]:
         return [m["name"] for m in self.site.machines if m["role"] == "target"]
 
-    def behave(self, **behaviour: Any) -> None:
+    def set_behaviour(self, **behaviour: Any) -> None:
         for name in self.list_targets():
             self.site.behave(name, **behaviour)
 
@@ -131,7 +131,7 @@
         wait_for(lambda: self.count(request_id) >= runs, 10, f"a run of {request_id}")
 
     def heal(self) -> None:
-        """Undo every fault, and wait until the gateways see each other."""
+        """Remove all faults, and wait until all gateways know each other."""
         self.site.set_faults()
         self.site.cut()
         names = self.site.list_gateways()
@@ -143,13 +143,13 @@
             address = self.site.addresses[name]
             path = "/health" if name in self.list_targets() else "/health/live"
             wait_for(lambda a=address, p=path: call(a, "GET", p), 20, f"{name} is up")
-        self.behave()
+        self.set_behaviour()
         for name in names:
             wait_for(lambda n=name: self.count_gateways(n) == len(names), 30, "peers")
 
 
 def use_site(context: Any, **layout: Any) -> RequestSite:
-    """Return the site of this feature, started with its first scenario."""
+    """Return the site of this feature, started by its first scenario."""
     known = getattr(context.feature, "request_site", None)
     if known is None:
         sizes = {"domains": DOMAINS, "targets": 1, "workers_per_rack": 1, **layout}
