--- a/src/firladder/_internal/gateway/configuration.py
+++ b/src/firladder/_internal/gateway/configuration.py
@@ -69,10 +69,10 @@
         known = self._holder.current
         snapshot = await self._store.range(PREFIX)
         if isinstance(snapshot, Failure):
-            return _make_unavailable(snapshot.reason)
+            return _make_unavailable_failure(snapshot.reason)
         if not self._inventory.loaded:
             # Without the VM list no shape would fit, and the refusal would be wrong.
-            return _make_unavailable("the VM list is not known yet")
+            return _make_unavailable_failure("the VM list is not known yet")
         stored = read_configuration(snapshot.entries)
         base = choose_base(stored, known, newest=self._find_newest())
         if isinstance(base, Failure):
@@ -131,21 +131,21 @@
             if isinstance(result, StoreConflict):
                 return await self._read_back(head)
             if isinstance(result, StoreUnavailable) and not uncertain:
-                return _make_unavailable(result.reason)
+                return _make_unavailable_failure(result.reason)
             # The write may have been applied or may still be in flight. Reading
             # the head could show the old revision, and the change would come into
             # force after the operator was told "refused". Repeating the write
             # either applies it, or conflicts with a head that also rejects the
             # first copy.
             uncertain = True
-        return _make_uncertain()
+        return _make_uncertain_failure()
 
     async def _read_back(self, written: ConfigurationHead) -> Failure | None:
         # Either another operator wrote first, or this write was applied and its
         # answer was lost. The write id distinguishes the two.
         entry = await self._store.get(HEAD_KEY)
         if isinstance(entry, StoreUnavailable | StoreUncertain):
-            return _make_uncertain()
+            return _make_uncertain_failure()
         head = read_head(entry)
         if head.holds(written.write_id):
             return None
@@ -163,13 +163,13 @@
     return [*puts, *(Delete(e.key) for e in stored if e.key not in kept)]
 
 
-def _make_unavailable(reason: str) -> StoreUnavailable:
+def _make_unavailable_failure(reason: str) -> StoreUnavailable:
     return StoreUnavailable(
         reason=f"nothing was changed: {reason}", retry_after_s=RETRY_AFTER_S
     )
 
 
-def _make_uncertain() -> StoreUncertain:
+def _make_uncertain_failure() -> StoreUncertain:
     return StoreUncertain(
         reason="the change may have been accepted; read the configuration",
         retry_after_s=RETRY_AFTER_S,
--- a/src/firladder/_internal/gateway/dispatch.py
+++ b/src/firladder/_internal/gateway/dispatch.py
@@ -69,7 +69,7 @@
                 self.in_flight[name] > 0 and now + expected_s > waiting.deadline
             )
             if misses_deadline and not pending.may_have_run:
-                self._end(pending, "refuse", failure=self._refuse_late(name, now))
+                self._end(pending, "refuse", failure=self._make_late_failure(name, now))
                 self._wake.set()
                 continue
             self._begin_send(pending, target, now)
@@ -82,17 +82,19 @@
             if pending is None:
                 continue
             if pending.chart.state == "queued":
-                self._remove_queued(pending, self._refuse_late(pending.service, now))
+                self._remove_queued(
+                    pending, self._make_late_failure(pending.service, now)
+                )
             elif pending.target is not None:
                 self._targets.record_failure(pending.target, now)
 
-    def _refuse_late(self, service: str, now: float) -> DeadlineUnreachable:
+    def _make_late_failure(self, service: str, now: float) -> DeadlineUnreachable:
         expected_s = self._targets.estimate_latency(service)
         return self._find_queues(service).refuse_late(
             now, expected_s=expected_s, rng=self._rng
         )
 
-    def drop(self, pending: PendingRequest) -> None:
+    def end_queued(self, pending: PendingRequest) -> None:
         """End a queued request whose caller has disconnected."""
         if pending.chart.state == "queued":
             self._remove_queued(
--- a/src/firladder/_internal/gateway/queues.py
+++ b/src/firladder/_internal/gateway/queues.py
@@ -82,7 +82,7 @@
         self, service: str, steering: Steering, deadline: float
     ) -> Failure | None:
         """Return why a request would be refused now, or None; do not queue it."""
-        waiting = self._make_waiting("", steering, deadline)
+        waiting = self._make_waiting_request("", steering, deadline)
         return self._admit(service, steering, waiting)
 
     def submit(
@@ -96,7 +96,9 @@
     ) -> PendingRequest | Failure:
         """Queue a request, or return why it is refused."""
         # Several idempotent requests may share an id, so each gets its own key.
-        waiting = self._make_waiting(str(next(self._numbers)), steering, deadline)
+        waiting = self._make_waiting_request(
+            str(next(self._numbers)), steering, deadline
+        )
         failure = self._admit(service, steering, waiting)
         if failure is not None:
             return failure
@@ -128,7 +130,7 @@
             heapq.heapify(self._deadlines)
         heapq.heappush(self._deadlines, (deadline, key))
 
-    def _make_waiting(
+    def _make_waiting_request(
         self, key: str, steering: Steering, deadline: float
     ) -> WaitingRequest:
         return WaitingRequest(
@@ -153,7 +155,7 @@
             # the time left are served; the others would be aborted.
             return Draining(reason="this gateway is stopping", retry_after_s=1.0)
         if waiting.deadline <= now:
-            return _make_deadline_too_near()
+            return _make_too_near_failure()
         capacity = self._targets.measure_capacity(
             service, steering.targets, self._configuration.current
         )
@@ -188,7 +190,7 @@
         self._drain_ends_at = ends_at
 
 
-def _make_deadline_too_near() -> DeadlineUnreachable:
+def _make_too_near_failure() -> DeadlineUnreachable:
     return DeadlineUnreachable(
         reason="the deadline is too near for a target's answer", retry_after_s=1.0
     )
--- a/src/firladder/_internal/gateway/relaying.py
+++ b/src/firladder/_internal/gateway/relaying.py
@@ -96,7 +96,7 @@
             left_s = min(left_s, LOST_PEER_TIMEOUT_S)
         clock = await self._fabric.ask(address, ReadClock(), timeout_s=max(0, left_s))
         if not isinstance(clock, ClockReply):
-            return _make_not_relayed_result(attempt, owner, _make_no_reply())
+            return _make_not_relayed_result(attempt, owner, _make_no_reply_failure())
         known.dispatched = True
         left_s = attempt.deadline - self._clock.read_monotonic()
         self._timeline.record(Event.REQUEST_RELAYED, request=request_id, owner=address)
@@ -151,10 +151,10 @@
 
 
 def _make_no_reply_result(request_id: str) -> RequestResult:
-    return make_unknown_result(request_id, _make_no_reply())
+    return make_unknown_result(request_id, _make_no_reply_failure())
 
 
-def _make_no_reply() -> PeerUnreachable:
+def _make_no_reply_failure() -> PeerUnreachable:
     reason = "the gateway that owns the id does not answer"
     return PeerUnreachable(reason=reason, retry_after_s=UNKNOWN_RETRY_S)
 
--- a/src/firladder/_internal/gateway/requests.py
+++ b/src/firladder/_internal/gateway/requests.py
@@ -43,7 +43,7 @@
 
 DRAIN_POLL_S = 0.02
 
-SETTLE_TURNS = 8
+SETTLE_ITERATIONS = 8
 """Iterations of the event loop after which a result has reached its waiter."""
 
 SERVICE_PATTERN = r"[a-z0-9][a-z0-9.-]{0,63}"
@@ -161,7 +161,7 @@
         gone_watcher = None
         if attempt.gone is not None:
             gone_watcher = self._tasks.spawn(
-                self._drop_when_gone(attempt.gone, pending), name="caller-gone"
+                self._end_when_gone(attempt.gone, pending), name="caller-gone"
             )
         try:
             result = await self._wait_until_deadline(pending.final, attempt)
@@ -170,11 +170,11 @@
                 gone_watcher.cancel()
         return result or make_late_result(attempt)
 
-    async def _drop_when_gone(
+    async def _end_when_gone(
         self, gone: asyncio.Event, pending: PendingRequest
     ) -> None:
         await gone.wait()
-        self._dispatcher.drop(pending)
+        self._dispatcher.end_queued(pending)
 
     async def _answer_once(self, attempt: Attempt) -> Answer:
         known = self._answers.find(attempt.request_id)
@@ -209,7 +209,7 @@
             # A request still queued at its deadline did not run. It is ended here,
             # so that its caller is answered "not run" rather than "unknown".
             self._dispatcher.expire_due(attempt.deadline)
-            for _ in range(SETTLE_TURNS):
+            for _ in range(SETTLE_ITERATIONS):
                 await asyncio.sleep(0)
         return answer.result() if answer.done() else None
 
