--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -198,7 +198,7 @@
 
 @when("the partition ends")
 def end_partition(context):
-    context.request_site.heal()
+    context.request_site.remove_faults()
 
 
 @when('gateway "{vm}" is killed')
@@ -208,7 +208,7 @@
 
 @when('gateway "{vm}" is started again')
 def restart_gateway(context, vm):
-    context.request_site.heal()
+    context.request_site.remove_faults()
 
 
 @step("every target is killed")
@@ -219,7 +219,7 @@
 
 @when("every target is started again")
 def restart_targets(context):
-    context.request_site.heal()
+    context.request_site.remove_faults()
 
 
 @given("the store loses {count:d} answer to a claim")
--- a/features/steps/requests_stop_steps.py
+++ b/features/steps/requests_stop_steps.py
@@ -137,7 +137,7 @@
     name = f"{vm}/gateway"
     context.request_site.site.child(name).stop()
     context.request_site.site.start_process(name, drain_s=str(limit_s))
-    context.request_site.heal()
+    context.request_site.remove_faults()
 
 
 @when('{count:d} callers send requests at "{vm}"')
--- a/features/support/requests.py
+++ b/features/support/requests.py
@@ -19,14 +19,14 @@
 class ResettingTarget:
     """A target that resets each connection in the middle of a request."""
 
-    service = "halfway"
+    service = "resetting"
 
     def __init__(self, site: Site) -> None:
         self.posts = self.probes = 0
         self._listener = socket.create_server(("127.0.0.1", 0))
         host, port = self._listener.getsockname()
         machine = {
-            "name": "halfway-1",
+            "name": "resetting-1",
             "role": "target",
             "failure_domain": DOMAINS[0],
             "address": f"{host}:{port}",
@@ -34,7 +34,7 @@
             "slots": 8,
             "connections": 64,
         }
-        site.put_key("platform/vms/halfway-1", machine)
+        site.put_key("platform/vms/resetting-1", machine)
         threading.Thread(target=self._serve, daemon=True).start()
 
     def _serve(self) -> None:
@@ -130,7 +130,7 @@
     def wait_runs(self, request_id: str, runs: int = 1) -> None:
         wait_for(lambda: self.count(request_id) >= runs, 10, f"a run of {request_id}")
 
-    def heal(self) -> None:
+    def remove_faults(self) -> None:
         """Remove all faults, and wait until all gateways know each other."""
         self.site.set_faults()
         self.site.cut()
@@ -156,5 +156,5 @@
         known = context.feature.request_site = RequestSite(Layout(**sizes))
         context.add_cleanup(known.stop, layer="feature")
         known.start()
-    context.add_cleanup(known.heal)
+    context.add_cleanup(known.remove_faults)
     return known
