--- a/features/steps/protocol_attempt_steps.py
+++ b/features/steps/protocol_attempt_steps.py
@@ -62,7 +62,7 @@
     seen = []
 
     def is_allowed():
-        seen.append(bench.books.avoid["job"])
+        seen.append(bench.accounting.avoid["job"])
         return not seen[-1]
 
     with mock.patch.object(members, "AVOID_S", avoid_s):
@@ -72,7 +72,7 @@
 
 @then("the protocol job may use every worker again")
 def check_allowed(context):
-    assert not context.bench.books.avoid["job"]
+    assert not context.bench.accounting.avoid["job"]
 
 
 @then("the protocol job waits in the queue with {failures:d} failures")
--- a/features/steps/protocol_model_steps.py
+++ b/features/steps/protocol_model_steps.py
@@ -119,7 +119,7 @@
         store.down = True
         await leader._renew()
         assert leader.isolated and leader.may_act() and not leader.may_start()
-        clock.now += leader.doubt_s
+        clock.now += leader.isolated_start_delay_s
         await leader._renew()
         assert leader.may_start(), "an isolated leader goes on when nobody can lead"
         peers.append(make_peer(leading=leader.epoch + 1))
@@ -204,7 +204,7 @@
         bench = await self.begin()
         started = asyncio.ensure_future(bench.runner.start())
         await bench.wait(lambda: bench.runner.running)
-        bench.books.workers["w1"].claimed = False
+        bench.accounting.workers["w1"].claimed = False
         bench.runner.inbox.put_nowait(MemberLost("w1"))
         await bench.wait(lambda: ("stop", "w0") in bench.workers.commands)
         await asyncio.sleep(0.3)
--- a/features/support/golden_job.py
+++ b/features/support/golden_job.py
@@ -9,9 +9,9 @@
 from firladder._internal.charts.interpreter import load_chart
 from firladder._internal.models.entry import Compare
 from firladder._internal.models.machine import Machine
-from firladder._internal.models.task import TaskStatus, WorkerReport
+from firladder._internal.models.task import TaskReport, TaskStatus
 from firladder._internal.policies.placement import PLACEMENTS, Place
-from firladder._internal.scheduler.books import Books, GangState, WorkerState
+from firladder._internal.scheduler.accounting import Accounting, GangState, WorkerState
 from firladder._internal.scheduler.gang_messages import (
     GangTimes,
     MemberEnded,
@@ -62,7 +62,7 @@
         return self.answer(worker, f"stop {task} {encode_json(req).decode()}", status)
 
     async def renew(self, worker: str, req: Any) -> Any:
-        report = WorkerReport(worker=worker, epoch=req.epoch, sequence=1)
+        report = TaskReport(worker=worker, epoch=req.epoch, sequence=1)
         return self.answer(worker, f"renew {encode_json(req).decode()}", report)
 
 
@@ -74,7 +74,7 @@
         self.leadership = make_leadership(stage.store, self.clock)
         self.workers = FakeWorkers(stage.recorder)
         self.timeline = Timeline(process=NAME, clock=self.clock, logical=LogicalClock())
-        self.books = Books("bern")
+        self.accounting = Accounting("bern")
 
     async def lead(self, machines: list[Machine]) -> None:
         await self.leadership._campaign()
@@ -87,12 +87,12 @@
         )
         for machine in machines:
             state = WorkerState(machine, claimed=True, reachable=True)
-            self.books.workers[machine.name] = state
+            self.accounting.workers[machine.name] = state
 
     def place(self) -> tuple[GangRunner, "asyncio.Task[None]"]:
         """Let the placement policy decide, and start the gang it places."""
         self.ledger.read_entries(self.stage.store.entries_of(PREFIX))
-        view = self.books.view(
+        view = self.accounting.view(
             jobs=self.ledger.jobs.values(),
             configuration=self.stage.first.configuration.current,
             now=self.clock.read_wall(),
@@ -104,10 +104,10 @@
         assert isinstance(action, Place), action
         record = self.ledger.jobs[action.job]
         gang = GangState(record, action.members, self.clock.read_wall())
-        self.books.gangs[action.job] = gang
+        self.accounting.gangs[action.job] = gang
         runner = GangRunner(
             gang=gang,
-            books=self.books,
+            accounting=self.accounting,
             ledger=self.ledger,
             workers=self.workers,  # type: ignore[arg-type]
             leadership=self.leadership,
--- a/features/support/protocol.py
+++ b/features/support/protocol.py
@@ -23,8 +23,8 @@
 from firladder._internal.models.job import JobRecord, JobSpec, Member
 from firladder._internal.models.machine import Machine
 from firladder._internal.models.message import Heartbeat, Identity
-from firladder._internal.models.task import TaskStatus, WorkerReport
-from firladder._internal.scheduler.books import Books, GangState, WorkerState
+from firladder._internal.models.task import TaskReport, TaskStatus
+from firladder._internal.scheduler.accounting import Accounting, GangState, WorkerState
 from firladder._internal.scheduler.domain import DomainLeader
 from firladder._internal.scheduler.gang_messages import GangTimes
 from firladder._internal.scheduler.gangs import GangRunner
@@ -157,7 +157,7 @@
 
     async def renew(self, address: str, req: Any) -> Any:
         self.commands.append(("confirm", address))
-        return WorkerReport(worker=address, epoch=req.epoch, sequence=0)
+        return TaskReport(worker=address, epoch=req.epoch, sequence=0)
 
 
 LOST = WorkerUnreachable(reason="no answer")
@@ -189,22 +189,22 @@
             on_superseded=lambda: self.leadership.step_down("superseded"),
         )
         self.ledger.read_entries(self.store.entries_of(PREFIX))
-        self.books = Books("bern-halle")
+        self.accounting = Accounting("bern-halle")
         for name in ("w0", "w1"):
             machine = Machine(
                 name=name, role="worker", failure_domain="bern-halle", address=name
             )
-            self.books.workers[name] = WorkerState(machine, claimed=True)
+            self.accounting.workers[name] = WorkerState(machine, claimed=True)
         self.place()
 
     def place(self) -> None:
         """Make a runner for the job as the ledger has it now."""
         members = tuple(Member(f"job.{n}", f"w{n}", (0,)) for n in range(2))
         gang = GangState(self.ledger.jobs["job"], members, 0.0)
-        self.books.gangs["job"] = gang
+        self.accounting.gangs["job"] = gang
         self.runner = GangRunner(
             gang=gang,
-            books=self.books,
+            accounting=self.accounting,
             ledger=self.ledger,
             workers=self.workers,  # type: ignore[arg-type]
             leadership=self.leadership,
@@ -234,8 +234,8 @@
                 process="bench", clock=self.clock, logical=LogicalClock()
             ),
         )
-        leader.books = self.books
-        return leader, self.books.workers["w0"]
+        leader.accounting = self.accounting
+        return leader, self.accounting.workers["w0"]
 
     async def wait(self, condition: Any) -> None:
         """Let the tasks run until the condition holds."""
--- a/src/firladder/_internal/etcd/workers.py
+++ b/src/firladder/_internal/etcd/workers.py
@@ -11,8 +11,8 @@
     ReserveTask,
     StartTask,
     StopTask,
+    TaskReport,
     TaskStatus,
-    WorkerReport,
 )
 from ..network.http_client import HttpAnswer, HttpClient
 from ..utils.codec import encode_json
@@ -32,9 +32,9 @@
         """Share one pool of connections among all workers."""
         self._http = http
 
-    async def claim(self, address: str, epoch: int) -> WorkerReport | WorkerFailure:
+    async def claim(self, address: str, epoch: int) -> TaskReport | WorkerFailure:
         """Fence lower epochs off, and return all tasks of the worker."""
-        return await self._post(address, "/claim", ClaimWorker(epoch), WorkerReport)
+        return await self._post(address, "/claim", ClaimWorker(epoch), TaskReport)
 
     async def reserve(
         self, address: str, req: ReserveTask
@@ -64,22 +64,20 @@
             address, f"/tasks/{task}/checkpoint", StartTask(epoch), TaskStatus
         )
 
-    async def renew(
-        self, address: str, req: RenewTasks
-    ) -> WorkerReport | WorkerFailure:
+    async def renew(self, address: str, req: RenewTasks) -> TaskReport | WorkerFailure:
         """Renew the leases of all confirmed tasks of the worker."""
-        return await self._post(address, "/renew", req, WorkerReport)
+        return await self._post(address, "/renew", req, TaskReport)
 
     async def follow(
         self, address: str, *, since: int, wait_s: float
-    ) -> WorkerReport | WorkerFailure:
+    ) -> TaskReport | WorkerFailure:
         """Return the tasks that changed after ``since``, waiting for a change."""
         answer = await self._http.call(
             "GET",
             f"http://{address}/tasks?since={since}&wait_s={wait_s}",
             timeout_s=wait_s + CALL_TIMEOUT_S,
         )
-        return _read(answer, WorkerReport)
+        return _read(answer, TaskReport)
 
     async def _post(
         self, address: str, path: str, req: msgspec.Struct, type_: type[T]
--- a/src/firladder/_internal/evaluation/speed.py
+++ b/src/firladder/_internal/evaluation/speed.py
@@ -14,7 +14,7 @@
 from ..measure.series import Series
 from ..models.job import JobRecord
 from ..policies.placement_catalogue import PLACEMENTS
-from ..scheduler.books import Books
+from ..scheduler.accounting import Accounting
 
 WORKERS, TASKS, QUEUE = 217, 3200, 100
 """A failure domain at letter 1's size; the queue is a guess at a busy hour."""
@@ -45,14 +45,14 @@
 
 def time_pass(workers: int, tasks: int, queue: int) -> float:
     """Return the milliseconds of processor time of one view and one pass."""
-    books, jobs = fill_books(workers, tasks), make_queue(queue)
+    accounting, jobs = fill_books(workers, tasks), make_queue(queue)
     configuration = make_configuration(TEAMS)
     policy = PLACEMENTS.find("cells")
     assert policy is not None
 
-    def run(books: Books = books) -> None:
+    def run(accounting: Accounting = accounting) -> None:
         policy(
-            books.view(
+            accounting.view(
                 jobs=jobs,
                 configuration=configuration,
                 now=10_000.0,
--- a/src/firladder/_internal/measure/decisions.py
+++ b/src/firladder/_internal/measure/decisions.py
@@ -16,10 +16,10 @@
 from ..models.job import JobRecord, JobSpec, Member
 from ..models.machine import Machine
 from ..models.message import Envelope, Heartbeat, Identity
-from ..models.task import TaskStatus, WorkerReport
+from ..models.task import TaskReport, TaskStatus
 from ..policies.placement_catalogue import PLACEMENTS
 from ..policies.selectors import find_steering
-from ..scheduler.books import Books, GangState
+from ..scheduler.accounting import Accounting, GangState
 from ..utils.codec import encode_json
 from .series import Series
 
@@ -85,23 +85,23 @@
     )
 
 
-def fill_books(workers: int, tasks: int) -> Books:
+def fill_books(workers: int, tasks: int) -> Accounting:
     """Return a leader's books with all workers claimed and gangs running."""
     machines = make_machines(workers)
-    books = Books(DOMAIN)
-    books.adopt_machines(machines)
+    accounting = Accounting(DOMAIN)
+    accounting.update_machines(machines)
     sizes = [GANG] * (tasks // GANG) + [tasks % GANG] * bool(tasks % GANG)
     jobs = [make_job(n, machines, size) for n, size in enumerate(sizes)]
     held: dict[str, list[TaskStatus]] = {m.name: [] for m in machines}
     for job in jobs:
-        books.gangs[job.spec.id] = GangState(job, job.members, 0.0)
+        accounting.gangs[job.spec.id] = GangState(job, job.members, 0.0)
         for member in job.members:
             held[member.worker].append(_describe_task(job, member))
     for name, statuses in held.items():
-        report = WorkerReport(worker=name, epoch=1, sequence=1, tasks=tuple(statuses))
-        books.adopt_report(name, report, 0.0)
-        books.workers[name].claimed = True
-    return books
+        report = TaskReport(worker=name, epoch=1, sequence=1, tasks=tuple(statuses))
+        accounting.apply_report(name, report, 0.0)
+        accounting.workers[name].claimed = True
+    return accounting
 
 
 def _describe_task(job: JobRecord, member: Member) -> TaskStatus:
@@ -145,8 +145,8 @@
     return (after - before) / 1024
 
 
-def _run_pass(books: Books, configuration: Configuration) -> None:
-    view = books.view(
+def _run_pass(accounting: Accounting, configuration: Configuration) -> None:
+    view = accounting.view(
         jobs=(), configuration=configuration, now=0.0, idempotent_only=False
     )
     policy = PLACEMENTS.find(DEFAULT_PLACEMENT)
--- a/src/firladder/_internal/models/task.py
+++ b/src/firladder/_internal/models/task.py
@@ -68,7 +68,7 @@
     reason: str = ""
 
 
-class WorkerReport(msgspec.Struct, frozen=True, kw_only=True):
+class TaskReport(msgspec.Struct, frozen=True, kw_only=True):
     """A worker's tasks, whole or those changed after ``since``."""
 
     worker: str
--- a/src/firladder/_internal/models/workload.py
+++ b/src/firladder/_internal/models/workload.py
@@ -49,8 +49,8 @@
 class Step:
     """``count`` like tasks. ``after`` numbers the steps that must be done first.
 
-    ``rack`` names the rack of the data, ``most_per_worker`` 0 means no bound,
-    ``lasting`` tasks run until the job is cancelled.
+    ``rack`` names the rack of the data, ``max_per_worker`` 0 means no bound,
+    ``long_running`` tasks run until the job is cancelled.
     """
 
     count: int
@@ -62,9 +62,9 @@
     one_rack: bool = False
     label: str = ""
     rack: str = ""
-    most_per_worker: int = 0
+    max_per_worker: int = 0
     copies_allowed: bool = False
-    lasting: bool = False
+    long_running: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -123,10 +123,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pool:
-    """A pool of workers; ``guards_capacity`` tells whether they reject overload."""
+    """A pool of workers; ``enforces_capacity`` tells whether they reject overload."""
 
     name: str
-    guards_capacity: bool = False
+    enforces_capacity: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/firladder/_internal/scheduler/books.py
+++ b/src/firladder/_internal/scheduler/accounting.py
@@ -7,7 +7,7 @@
 from ..models.job import JobRecord, JobSpec, Member
 from ..models.machine import Machine
 from ..models.message import WorkerSummary
-from ..models.task import ENDED, TaskStatus, WorkerReport
+from ..models.task import ENDED, TaskReport, TaskStatus
 from ..policies.estimating import RunHistory
 from ..policies.placement import DomainView, QueuedJob, RunningJob, WorkerView
 from ..policies.quarantine import WorkerHealth
@@ -58,7 +58,7 @@
     preempted_for: str = ""
 
 
-class Books:
+class Accounting:
     """All workers and gangs of one failure domain."""
 
     def __init__(self, failure_domain: str) -> None:
@@ -72,7 +72,7 @@
         self._steerings: dict[SteeringKey, Steering] = {}
         self._steered_by: Configuration | None = None
 
-    def adopt_machines(self, machines: Iterable[Machine]) -> None:
+    def update_machines(self, machines: Iterable[Machine]) -> None:
         """Take over the VM list's workers of this failure domain."""
         listed = {m.name: m for m in machines}
         for name in set(self.workers) - set(listed):
@@ -81,7 +81,7 @@
         for name, machine in listed.items():
             self.workers.setdefault(name, WorkerState(machine)).machine = machine
 
-    def adopt_report(self, name: str, report: WorkerReport, now: float) -> None:
+    def apply_report(self, name: str, report: TaskReport, now: float) -> None:
         """Take over what a worker said."""
         state = self.workers[name]
         state.reachable = True
--- a/src/firladder/_internal/scheduler/domain.py
+++ b/src/firladder/_internal/scheduler/domain.py
@@ -13,7 +13,7 @@
     Preempt,
 )
 from ..utils.events import Event
-from .books import GangState
+from .accounting import GangState
 from .changes import finish
 from .following import LOST_PART, WorkerFollower
 from .gang_messages import MemberLost, StopGang
@@ -42,8 +42,8 @@
 
     async def run(self) -> None:
         """Claim, recover, then place until cancelled."""
-        self.books.adopt_machines(self._list_machines())
-        states = list(self.books.workers.values())
+        self.accounting.update_machines(self._list_machines())
+        states = list(self.accounting.workers.values())
         reached = await asyncio.gather(*(self._claim(w) for w in states))
         claimed = [w for w, known in zip(states, reached, strict=True) if known]
         self._recover({w.machine.name for w in claimed})
@@ -64,7 +64,7 @@
 
     def _recover(self, reached: set[str]) -> None:
         """Take over gangs that run whole; end what is left of the others."""
-        index = TaskIndex(self.books.workers.values())
+        index = TaskIndex(self.accounting.workers.values())
         for job in list(self._ledger.jobs.values()):
             if job.state in ("starting", "running"):
                 self._recover_job(job, reached, index)
@@ -76,7 +76,7 @@
     def _recover_job(self, job: JobRecord, reached: set[str], index: TaskIndex) -> None:
         wall = self._clock.read_wall()
         gang = GangState(job, job.members, wall, cell=job.cell)
-        self.books.gangs[job.spec.id] = gang
+        self.accounting.gangs[job.spec.id] = gang
         runner = self._make_runner(gang)
         if job.state == "starting" and job.epoch == self._epoch:
             # This leader's own claim, whose answer was lost; nothing was started.
@@ -94,14 +94,14 @@
 
     async def _await_worker(self, worker: str, runner: GangRunner) -> None:
         await asyncio.sleep(self._times.task_ttl_s * LOST_PART)
-        state = self.books.workers.get(worker)
+        state = self.accounting.workers.get(worker)
         if state is None or not state.claimed:
             runner.inbox.put_nowait(MemberLost(worker))
 
     def _make_runner(self, gang: GangState) -> GangRunner:
         runner = GangRunner(
             gang=gang,
-            books=self.books,
+            accounting=self.accounting,
             ledger=self._ledger,
             workers=self._workers,
             leadership=self._leadership,
@@ -120,13 +120,13 @@
         if not self._leadership.may_act(self._epoch) or not self.placing:
             return
         self._runners = {
-            j: r for j, r in self._runners.items() if j in self.books.gangs
+            j: r for j, r in self._runners.items() if j in self.accounting.gangs
         }
         self._recover_orphans()
         self._handle_cancellations()
         if not self._leadership.may_start(self._epoch):
             return
-        view = self.books.view(
+        view = self.accounting.view(
             jobs=self._ledger.jobs.values(),
             configuration=self._configuration.current,
             now=self._clock.read_wall(),
@@ -149,12 +149,12 @@
             for job in self._ledger.jobs.values()
             if job.state in ("starting", "running")
             and job.epoch <= self._epoch
-            and job.spec.id not in self.books.gangs
+            and job.spec.id not in self.accounting.gangs
         ]
         if not orphans:
             return
-        reached = {n for n, w in self.books.workers.items() if w.claimed}
-        index = TaskIndex(self.books.workers.values())
+        reached = {n for n, w in self.accounting.workers.items() if w.claimed}
+        index = TaskIndex(self.accounting.workers.values())
         for job in orphans:
             self._recover_job(job, reached, index)
 
@@ -163,8 +163,8 @@
             if not job.cancel_requested or job.state == "finished":
                 continue
             runner = self._runners.get(job.spec.id)
-            if job.spec.id in self.books.gangs and runner is not None:
-                gang = self.books.gangs[job.spec.id]
+            if job.spec.id in self.accounting.gangs and runner is not None:
+                gang = self.accounting.gangs[job.spec.id]
                 if not gang.stopping:
                     gang.stopping = True
                     runner.inbox.put_nowait(StopGang("cancelled"))
@@ -176,11 +176,11 @@
             record = self._ledger.jobs[action.job]
             wall = self._clock.read_wall()
             gang = GangState(record, action.members, wall, cell=action.cell)
-            self.books.gangs[action.job] = gang
+            self.accounting.gangs[action.job] = gang
             runner = self._make_runner(gang)
             self._tasks.spawn(runner.start(), name=f"gang-{action.job}")
         elif isinstance(action, Preempt):
-            gang = self.books.gangs[action.job]
+            gang = self.accounting.gangs[action.job]
             gang.stopping, gang.preempted_for = True, action.beneficiary
             self._timeline.record(
                 Event.EVICTION_ORDERED,
@@ -195,12 +195,14 @@
 
     def _finish_queued(self, action: Finish) -> None:
         record = self._ledger.jobs[action.job]
-        if action.job in self.books.gangs:
+        if action.job in self.accounting.gangs:
             return
         if action.outcome == "failed":
-            self.books.retract_failure(action.job)
+            self.accounting.retract_failure(action.job)
         # Listed as a gang without members so that no second pass acts on it.
-        self.books.gangs[action.job] = GangState(record, (), self._clock.read_wall())
+        self.accounting.gangs[action.job] = GangState(
+            record, (), self._clock.read_wall()
+        )
         self._tasks.spawn(self._write_end(action), name=f"finish-{action.job}")
 
     async def _write_end(self, action: Finish) -> None:
@@ -215,7 +217,7 @@
                 else None
             ),
         )
-        self.books.gangs.pop(action.job, None)
+        self.accounting.gangs.pop(action.job, None)
         self._timeline.record(
             Event.JOB_ENDED,
             job=action.job,
@@ -227,12 +229,12 @@
         """Return this failure domain as status shows it."""
         jobs = self._ledger.jobs.values()
         return DomainReply(
-            failure_domain=self.books.failure_domain,
+            failure_domain=self.accounting.failure_domain,
             epoch=self._leadership.epoch,
             isolated=self._leadership.isolated,
             queued=sum(j.state == "queued" for j in jobs),
             running=sum(j.state in ("starting", "running") for j in jobs),
-            workers=self.books.summarise_workers(),
+            workers=self.accounting.summarise_workers(),
             degraded=self._guarantees.degraded,
         )
 
@@ -241,7 +243,7 @@
         self.placing = False
         while any(
             not self._runners[job].settled
-            for job, gang in self.books.gangs.items()
+            for job, gang in self.accounting.gangs.items()
             if gang.members
         ):
             await asyncio.sleep(0.05)
--- a/src/firladder/_internal/scheduler/following.py
+++ b/src/firladder/_internal/scheduler/following.py
@@ -8,14 +8,14 @@
 from ..exceptions import FencedOff
 from ..fleet.configuration import ConfigurationHolder
 from ..models.machine import Machine
-from ..models.task import ENDED, RenewTasks, StopTask, TaskStatus, WorkerReport
+from ..models.task import ENDED, RenewTasks, StopTask, TaskReport, TaskStatus
 from ..policies.placement import (
     PlacementPolicy,
 )
 from ..utils.clocks import Clock
 from ..utils.events import Event, Timeline
 from ..utils.tasks import TaskSet
-from .books import Books, WorkerState
+from .accounting import Accounting, WorkerState
 from .gang_messages import GangTimes, MemberEnded, MemberLost
 from .gangs import GangRunner
 from .guarantees import GuaranteeWatch
@@ -65,7 +65,7 @@
         self._gang_chart = load_chart("gang")
         self._followed: set[str] = set()
         self._runners: dict[str, GangRunner] = {}
-        self.books = Books(failure_domain)
+        self.accounting = Accounting(failure_domain)
         self._guarantees = GuaranteeWatch(timeline)
         self.placing = True
 
@@ -76,12 +76,12 @@
         report = await self._workers.claim(state.machine.address, self._epoch)
         if isinstance(report, FencedOff):
             self._leadership.step_down("a worker obeys a higher epoch")
-        if not isinstance(report, WorkerReport):
+        if not isinstance(report, TaskReport):
             return False
         state.tasks.clear()
         state.ended.clear()
         state.sequence = 0
-        self.books.adopt_report(
+        self.accounting.apply_report(
             state.machine.name, report, self._clock.read_monotonic()
         )
         return True
@@ -105,7 +105,7 @@
         )
 
     def _is_wanted(self, task: TaskStatus) -> bool:
-        gang = self.books.gangs.get(task.job)
+        gang = self.accounting.gangs.get(task.job)
         return gang is not None and gang.record.attempt == task.attempt
 
     async def _stop_stray(self, state: WorkerState, task: TaskStatus) -> bool:
@@ -119,7 +119,7 @@
     def _check_members(self, state: WorkerState) -> None:
         """Tell running gangs what a claimed worker knows of their members."""
         name = state.machine.name
-        for job, gang in self.books.gangs.items():
+        for job, gang in self.accounting.gangs.items():
             runner = self._runners.get(job)
             if runner is None or not runner.running:
                 continue
@@ -133,7 +133,7 @@
                     runner.inbox.put_nowait(MemberLost(name))
 
     def _note_worker_failure(self, worker: str, job: str) -> None:
-        state = self.books.workers.get(worker)
+        state = self.accounting.workers.get(worker)
         if state is None:
             return
         if state.conduct.record_failure(job, self._clock.read_monotonic()):
@@ -144,22 +144,24 @@
             )
 
     def _note_worker_success(self, worker: str, job: str) -> None:
-        state = self.books.workers[worker]
+        state = self.accounting.workers[worker]
         if state.quarantined:
             self._timeline.record(Event.WORKER_RETURNED, worker=worker, job=job)
         state.conduct.record_success()
-        self.books.note_run(job, self._configuration.current, self._clock.read_wall())
+        self.accounting.note_run(
+            job, self._configuration.current, self._clock.read_wall()
+        )
 
     def _follow_new_workers(self) -> None:
-        self.books.adopt_machines(self._list_machines())
-        for name in set(self.books.workers) - self._followed:
+        self.accounting.update_machines(self._list_machines())
+        for name in set(self.accounting.workers) - self._followed:
             self._followed.add(name)
             self._tasks.spawn(self._follow(name), name=f"follow-{name}")
             self._tasks.spawn(self._renew(name), name=f"renew-{name}")
 
     async def _follow(self, name: str) -> None:
         """Hear of a worker's changes, and claim it again after a silence."""
-        while (state := self.books.workers.get(name)) is not None:
+        while (state := self.accounting.workers.get(name)) is not None:
             if not state.claimed:
                 if await self._claim(state):
                     await self._admit(state)
@@ -170,25 +172,25 @@
             report = await self._workers.follow(
                 state.machine.address, since=state.sequence, wait_s=FOLLOW_WAIT_S
             )
-            if isinstance(report, WorkerReport):
+            if isinstance(report, TaskReport):
                 self._take_report(name, report)
                 continue
             self._note_silence(state)
             await asyncio.sleep(0.3)
         self._followed.discard(name)
 
-    def _take_report(self, name: str, report: WorkerReport) -> None:
+    def _take_report(self, name: str, report: TaskReport) -> None:
         if report.epoch > self._epoch:
             self._timeline.record(Event.WORKER_FENCED, worker=name)
             self._leadership.step_down("a worker obeys a higher epoch")
             return
-        state = self.books.workers[name]
+        state = self.accounting.workers[name]
         if report.epoch < self._epoch or report.sequence < state.sequence:
             # The worker was replaced and knows neither its tasks nor whom to
             # obey; its changes would be missed, as their numbers begin anew.
             state.claimed = False
             return
-        self.books.adopt_report(name, report, self._clock.read_monotonic())
+        self.accounting.apply_report(name, report, self._clock.read_monotonic())
         for task in report.tasks:
             runner = self._runners.get(task.job)
             if task.state in ENDED and runner is not None:
@@ -207,13 +209,13 @@
         state.reachable = False
         state.claimed = False
         self._timeline.record(Event.WORKER_LOST, worker=name)
-        for job, gang in self.books.gangs.items():
+        for job, gang in self.accounting.gangs.items():
             if any(m.worker == name for m in gang.members):
                 self._runners[job].inbox.put_nowait(MemberLost(name))
 
     async def _renew(self, name: str) -> None:
         """Renew the leases of all confirmed tasks of a worker, in one call."""
-        while (state := self.books.workers.get(name)) is not None:
+        while (state := self.accounting.workers.get(name)) is not None:
             if not state.claimed or not self._leadership.may_act(self._epoch):
                 await asyncio.sleep(IDLE_PAUSE_S)
                 continue
@@ -232,7 +234,7 @@
             )
             if isinstance(report, FencedOff):
                 self._leadership.step_down("a worker obeys a higher epoch")
-            if isinstance(report, WorkerReport):
+            if isinstance(report, TaskReport):
                 state.heard_at = self._clock.read_monotonic()
             else:
                 # Sooner than the long question for changes, which may be held
--- a/src/firladder/_internal/scheduler/leadership.py
+++ b/src/firladder/_internal/scheduler/leadership.py
@@ -98,7 +98,7 @@
         return self.elected_epoch == epoch
 
     @property
-    def doubt_s(self) -> float:
+    def isolated_start_delay_s(self) -> float:
         """Return how long an isolated leader starts nothing, in seconds.
 
         A peer whose own calls hang tells of a store that it lost only when a
@@ -129,7 +129,7 @@
         if not self.may_act(epoch):
             return False
         isolated_s = self._clock.read_monotonic() - self._isolated_since
-        return not self.isolated or isolated_s >= self.doubt_s
+        return not self.isolated or isolated_s >= self.isolated_start_delay_s
 
     async def run(self) -> None:
         """Stand, renew and step down until stopped."""
@@ -228,7 +228,7 @@
                 return
             self._isolated_since = now
             self._move("cut_off", Event.LEADERSHIP_ISOLATED)
-        elif now - self._isolated_since >= self.doubt_s and any(
+        elif now - self._isolated_since >= self.isolated_start_delay_s and any(
             p.store_reachable for p in peers
         ):
             self.step_down("a peer still reaches the store")
--- a/src/firladder/_internal/scheduler/members.py
+++ b/src/firladder/_internal/scheduler/members.py
@@ -11,7 +11,7 @@
 from ..models.task import ENDED, ReserveTask, StopTask, TaskStatus
 from ..utils.clocks import Clock
 from ..utils.events import Event, Timeline
-from .books import Books, GangState
+from .accounting import Accounting, GangState
 from .gang_messages import GangMessage, GangTimes
 from .leadership import Leadership
 from .ledger import Ledger
@@ -35,7 +35,7 @@
         self,
         *,
         gang: GangState,
-        books: Books,
+        accounting: Accounting,
         ledger: Ledger,
         workers: WorkerClient,
         leadership: Leadership,
@@ -49,7 +49,7 @@
         """Prepare for one term of office; ``start`` or ``adopt`` does the rest."""
         self._gang = gang
         self._members = gang.members
-        self._books = books
+        self._books = accounting
         self._ledger = ledger
         self._workers = workers
         self._leadership = leadership
--- a/src/firladder/_internal/scheduler/recovery.py
+++ b/src/firladder/_internal/scheduler/recovery.py
@@ -6,7 +6,7 @@
 
 from ..models.job import JobRecord, Member
 from ..models.task import TaskStatus
-from .books import WorkerState
+from .accounting import WorkerState
 
 FoundTasks = Mapping[str, tuple[str, TaskStatus]]
 """Tasks of one attempt by name, each with its worker."""
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -21,8 +21,8 @@
     ReserveTask,
     StartTask,
     StopTask,
+    TaskReport,
     TaskStatus,
-    WorkerReport,
 )
 from firladder._internal.network.http_server import (
     Handler,
@@ -103,9 +103,9 @@
         self.overcommitted: list[dict[str, Any]] = []
         self.fenced = 0
 
-    def report(self, tasks: Iterable[Task]) -> WorkerReport:
+    def report(self, tasks: Iterable[Task]) -> TaskReport:
         """Return a report of the given tasks."""
-        return WorkerReport(
+        return TaskReport(
             worker=self.name,
             epoch=self.epoch,
             sequence=self.sequence,
@@ -260,7 +260,7 @@
 
 
 @command("/claim", ClaimWorker)
-async def claim(worker: Worker, req: ClaimWorker) -> WorkerReport:
+async def claim(worker: Worker, req: ClaimWorker) -> TaskReport:
     """Obey this epoch and no lower one; return all tasks."""
     return worker.report(worker.tasks.values())
 
@@ -315,7 +315,7 @@
 
 
 @command("/renew", RenewTasks)
-async def renew(worker: Worker, req: RenewTasks) -> WorkerReport:
+async def renew(worker: Worker, req: RenewTasks) -> TaskReport:
     """Renew the leases of all confirmed tasks, and confirm more."""
     now = time.monotonic()
     for name in req.confirm:
