--- a/src/firladder/_internal/models/configuration.py
+++ b/src/firladder/_internal/models/configuration.py
@@ -18,7 +18,7 @@
 """Changes made together. The store takes 128 operations in a transaction unless
 told otherwise, and the head is one of them."""
 
-KEPT_WRITES = 64
+MAX_RECENT_WRITE_IDS = 64
 """Write ids kept in the head, about half an hour of an ordinary day's changes;
 a writer whose answer was lost looks for its own within seconds."""
 
@@ -112,5 +112,9 @@
         """Return the head that the next change writes."""
         # With the last id alone, a writer whose answer was lost would find the
         # next operator's id and report its own accepted change as refused.
-        recent = (self.write_id, *self.recent)[:KEPT_WRITES] if self.write_id else ()
+        recent = (
+            (self.write_id, *self.recent)[:MAX_RECENT_WRITE_IDS]
+            if self.write_id
+            else ()
+        )
         return ConfigurationHead(revision, write_id, recent, clock)
--- a/src/firladder/_internal/models/job.py
+++ b/src/firladder/_internal/models/job.py
@@ -11,7 +11,7 @@
 Adjacency = Literal["worker", "rack", "domain"]
 JobState = Literal["queued", "starting", "running", "finished"]
 
-MAX_GANG = 1024
+MAX_GANG_SIZE = 1024
 
 
 class JobSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -23,7 +23,7 @@
 
     id: Identifier
     organisation: Name
-    members: Annotated[int, Meta(ge=1, le=MAX_GANG)] = 1
+    members: Annotated[int, Meta(ge=1, le=MAX_GANG_SIZE)] = 1
     accelerators: Annotated[int, Meta(ge=0, le=1024)] = 1
     cpus: Annotated[int, Meta(ge=0, le=4096)] = 1
     memory_mb: Annotated[int, Meta(ge=0, le=16_777_216)] = 256
--- a/src/firladder/_internal/scheduler/accounting.py
+++ b/src/firladder/_internal/scheduler/accounting.py
@@ -13,13 +13,13 @@
 from ..policies.quarantine import WorkerHealth
 from ..policies.selectors import Steering, collect_labels, find_steering
 
-STEERINGS_KEPT = 4096
+MAX_CACHED_STEERINGS = 4096
 """Steerings remembered for a revision of the configuration; a job's labels give
 the same one in every pass, and finding it walks all rules."""
 
 SteeringKey = tuple[str, Urgency, tuple[tuple[str, str], ...]]
 
-Hold = tuple[tuple[int, ...], int, int]
+HeldResources = tuple[tuple[int, ...], int, int]
 
 
 @dataclasses.dataclass(slots=True)
@@ -34,12 +34,12 @@
     renewed_at: float = 0.0
     tasks: dict[str, TaskStatus] = dataclasses.field(default_factory=dict)
     ended: dict[str, TaskStatus] = dataclasses.field(default_factory=dict)
-    conduct: WorkerHealth = dataclasses.field(default_factory=WorkerHealth)
+    health: WorkerHealth = dataclasses.field(default_factory=WorkerHealth)
 
     @property
     def quarantined(self) -> bool:
         """Tell whether the worker has failed too many jobs."""
-        return self.conduct.quarantined
+        return self.health.quarantined
 
     def list_held(self) -> list[TaskStatus]:
         """Return the tasks that hold accelerators."""
@@ -69,8 +69,8 @@
         self.not_before: dict[str, float] = {}
         self.avoid: dict[str, frozenset[str]] = {}
         self.history = RunHistory()
-        self._steerings: dict[SteeringKey, Steering] = {}
-        self._steered_by: Configuration | None = None
+        self._steering_cache: dict[SteeringKey, Steering] = {}
+        self._steering_configuration: Configuration | None = None
 
     def update_machines(self, machines: Iterable[Machine]) -> None:
         """Take over the VM list's workers of this failure domain."""
@@ -122,13 +122,13 @@
 
         ``monotonic`` is the time by which quarantines end.
         """
-        promised = self._list_promised()
+        allocations = self._list_allocations()
         return DomainView(
             failure_domain=self.failure_domain,
             now=now,
             workers=tuple(
                 self._view_worker(
-                    w, configuration, promised.get(w.machine.name, {}), monotonic
+                    w, configuration, allocations.get(w.machine.name, {}), monotonic
                 )
                 for w in self.workers.values()
             ),
@@ -150,9 +150,9 @@
     def retract_failure(self, job: str) -> None:
         """Take back what workers have against them for a job that is to blame."""
         for state in self.workers.values():
-            state.conduct.retract_failure(job)
+            state.health.retract_failure(job)
 
-    def note_run(self, job: str, configuration: Configuration, now: float) -> None:
+    def record_run(self, job: str, configuration: Configuration, now: float) -> None:
         """Learn from a job's real run time, which a member's end tells."""
         gang = self.gangs.get(job)
         if gang is None or gang.record.attempt > 1 or gang.stopping:
@@ -161,35 +161,35 @@
         steering = self._find_steering(spec, configuration)
         self.history.record_run(spec, steering.organisation, now - gang.started_at)
 
-    def _is_promised(self, task: TaskStatus) -> bool:
+    def _is_allocated(self, task: TaskStatus) -> bool:
         # A worker's name for a task carries the attempt, the gang's does not;
         # told apart by name, each member's processors would count twice.
         gang = self.gangs.get(task.job)
         return gang is not None and gang.record.attempt == task.attempt
 
-    def _list_promised(self) -> dict[str, dict[str, Hold]]:
+    def _list_allocations(self) -> dict[str, dict[str, HeldResources]]:
         """Return what gangs were promised of each worker, by task."""
-        promised: dict[str, dict[str, Hold]] = {}
+        allocations: dict[str, dict[str, HeldResources]] = {}
         for gang in self.gangs.values():
             spec = gang.record.spec
             for member in gang.members:
-                promised.setdefault(member.worker, {})[member.task] = (
+                allocations.setdefault(member.worker, {})[member.task] = (
                     member.accelerators,
                     spec.cpus,
                     spec.memory_mb,
                 )
-        return promised
+        return allocations
 
     def _find_steering(self, spec: JobSpec, configuration: Configuration) -> Steering:
-        if self._steered_by is not configuration:
-            self._steered_by = configuration
-            self._steerings.clear()
+        if self._steering_configuration is not configuration:
+            self._steering_configuration = configuration
+            self._steering_cache.clear()
         key = (spec.organisation, spec.urgency, tuple(sorted(spec.labels.items())))
-        found = self._steerings.get(key)
+        found = self._steering_cache.get(key)
         if found is None:
-            if len(self._steerings) >= STEERINGS_KEPT:
-                self._steerings.clear()
-            found = self._steerings[key] = find_steering(
+            if len(self._steering_cache) >= MAX_CACHED_STEERINGS:
+                self._steering_cache.clear()
+            found = self._steering_cache[key] = find_steering(
                 configuration,
                 organisation=spec.organisation,
                 urgency=spec.urgency,
@@ -201,7 +201,7 @@
         self,
         state: WorkerState,
         configuration: Configuration,
-        promised: Mapping[str, Hold],
+        allocations: Mapping[str, HeldResources],
         monotonic: float,
     ) -> WorkerView:
         machine = state.machine
@@ -211,9 +211,9 @@
         reported = {
             t.task: (t.accelerators, t.cpus, t.memory_mb)
             for t in state.list_held()
-            if not self._is_promised(t)
+            if not self._is_allocated(t)
         }
-        holds = {**reported, **promised}.values()
+        holds = {**reported, **allocations}.values()
         used = {a for accelerators, _, _ in holds for a in accelerators}
         return WorkerView(
             name=machine.name,
@@ -228,7 +228,7 @@
             usable=(
                 state.claimed
                 and state.reachable
-                and state.conduct.accepts_work(monotonic, busy=bool(holds))
+                and state.health.accepts_work(monotonic, busy=bool(holds))
                 and machine.state == "live"
             ),
         )
--- a/src/firladder/_internal/scheduler/daemon.py
+++ b/src/firladder/_internal/scheduler/daemon.py
@@ -120,7 +120,7 @@
             logical=self.logical,
         )
         mirror = self.mirror(PREFIX, ledger.read_entries)
-        follow_jobs = self.tasks.spawn(mirror.run(), name="mirror-jobs")
+        mirror_task = self.tasks.spawn(mirror.run(), name="mirror-jobs")
         leader = DomainLeader(
             failure_domain=self.identity.failure_domain,
             leadership=self.leadership,
@@ -147,7 +147,7 @@
             await self.leadership.changed.wait()
             self.leadership.changed.clear()
         self.leader = None
-        for task in (term, follow_jobs):
+        for task in (term, mirror_task):
             await end_task(task)
         await leader.close()
         if self.leadership.state == "claiming":
--- a/src/firladder/_internal/scheduler/domain.py
+++ b/src/firladder/_internal/scheduler/domain.py
@@ -14,25 +14,25 @@
 )
 from ..utils.events import Event
 from .accounting import GangState
-from .changes import finish
-from .following import LOST_PART, WorkerFollower
 from .gang_messages import MemberLost, StopGang
 from .gangs import GangRunner
-from .recovery import TaskIndex, find_unwritten, is_sound
+from .job_changes import finish
+from .recovery import TaskIndex, find_unrecorded_attempt, is_intact
+from .worker_follower import LOST_LEASE_SHARE, WorkerFollower
 
 logger = logging.getLogger(__name__)
 
-PASS_PAUSE_S = 0.25
+PASS_INTERVAL_S = 0.25
 """Longest time between placement passes; a change brings the next one at once."""
 
-PASS_SHARE = 0.04
+MAX_PASS_SHARE = 0.04
 """Part of the time that passes may take while nothing changes."""
 
-LONGEST_PAUSE_S = 2.0
+MAX_PASS_INTERVAL_S = 2.0
 """Longest time between passes, however long one took: gangs that wait for a lease
 to lapse are found by a pass, and a busy machine can make one look long."""
 
-PASS_SPACING_S = 0.05
+MIN_PASS_INTERVAL_S = 0.05
 """Shortest time between passes, so that a wave of cancellations or arrivals
 costs one pass and not one each."""
 
@@ -44,8 +44,8 @@
         """Claim, recover, then place until cancelled."""
         self.accounting.update_machines(self._list_machines())
         states = list(self.accounting.workers.values())
-        reached = await asyncio.gather(*(self._claim(w) for w in states))
-        claimed = [w for w, known in zip(states, reached, strict=True) if known]
+        claimed_workers = await asyncio.gather(*(self._claim(w) for w in states))
+        claimed = [w for w, known in zip(states, claimed_workers, strict=True) if known]
         self._recover({w.machine.name for w in claimed})
         await asyncio.gather(*(self._admit(w) for w in claimed))
         self._leadership.finish_claiming()
@@ -54,26 +54,30 @@
             began = self._clock.read_monotonic()
             self._place()
             spent_s = self._clock.read_monotonic() - began
-            await asyncio.sleep(PASS_SPACING_S)
+            await asyncio.sleep(MIN_PASS_INTERVAL_S)
             # A long queue in a large failure domain makes a pass long; repeated
             # four times a second, it would take whole cores to find nothing new.
-            pause_s = max(PASS_PAUSE_S, min(spent_s / PASS_SHARE, LONGEST_PAUSE_S))
+            pause_s = max(
+                PASS_INTERVAL_S, min(spent_s / MAX_PASS_SHARE, MAX_PASS_INTERVAL_S)
+            )
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._ledger.changed.wait(), pause_s)
             self._ledger.changed.clear()
 
-    def _recover(self, reached: set[str]) -> None:
+    def _recover(self, claimed_workers: set[str]) -> None:
         """Take over gangs that run whole; end what is left of the others."""
         index = TaskIndex(self.accounting.workers.values())
         for job in list(self._ledger.jobs.values()):
             if job.state in ("starting", "running"):
-                self._recover_job(job, reached, index)
+                self._recover_job(job, claimed_workers, index)
             elif job.state == "queued":
-                unwritten = find_unwritten(job, reached, index)
-                if unwritten is not None:
-                    self._recover_job(unwritten, reached, index)
+                unrecorded = find_unrecorded_attempt(job, claimed_workers, index)
+                if unrecorded is not None:
+                    self._recover_job(unrecorded, claimed_workers, index)
 
-    def _recover_job(self, job: JobRecord, reached: set[str], index: TaskIndex) -> None:
+    def _recover_job(
+        self, job: JobRecord, claimed_workers: set[str], index: TaskIndex
+    ) -> None:
         wall = self._clock.read_wall()
         gang = GangState(job, job.members, wall, cell=job.cell)
         self.accounting.gangs[job.spec.id] = gang
@@ -82,18 +86,18 @@
             # This leader's own claim, whose answer was lost; nothing was started.
             self._tasks.spawn(runner.undo_claim(), name=f"undo-{job.spec.id}")
             return
-        if not is_sound(job, reached, index.find(job)):
+        if not is_intact(job, claimed_workers, index.find(job)):
             runner.inbox.put_nowait(MemberLost("unknown"))
         elif job.cancel_requested:
             gang.stopping = True
             runner.inbox.put_nowait(StopGang("cancelled"))
-        for worker in {m.worker for m in job.members} - reached:
+        for worker in {m.worker for m in job.members} - claimed_workers:
             # One slow answer at a takeover must not end a gang that runs whole.
-            self._tasks.spawn(self._await_worker(worker, runner), name="doubt")
+            self._tasks.spawn(self._wait_for_worker(worker, runner), name="doubt")
         self._tasks.spawn(runner.adopt(), name=f"gang-{job.spec.id}")
 
-    async def _await_worker(self, worker: str, runner: GangRunner) -> None:
-        await asyncio.sleep(self._times.task_ttl_s * LOST_PART)
+    async def _wait_for_worker(self, worker: str, runner: GangRunner) -> None:
+        await asyncio.sleep(self._times.task_ttl_s * LOST_LEASE_SHARE)
         state = self.accounting.workers.get(worker)
         if state is None or not state.claimed:
             runner.inbox.put_nowait(MemberLost(worker))
@@ -110,7 +114,7 @@
             chart=self._gang_chart,
             clock=self._clock,
             timeline=self._timeline,
-            on_worker_failure=self._note_worker_failure,
+            on_worker_failure=self._record_worker_failure,
         )
         self._runners[gang.record.spec.id] = runner
         return runner
@@ -122,7 +126,7 @@
         self._runners = {
             j: r for j, r in self._runners.items() if j in self.accounting.gangs
         }
-        self._recover_orphans()
+        self._recover_stalled_jobs()
         self._handle_cancellations()
         if not self._leadership.may_start(self._epoch):
             return
@@ -136,27 +140,27 @@
         revision = self._configuration.current.revision
         self._guarantees.check(view, revision=revision)
         for action in self._policy(view):
-            self._act(action)
+            self._apply_action(action)
 
-    def _recover_orphans(self) -> None:
+    def _recover_stalled_jobs(self) -> None:
         """Take up jobs that the store has as started and nobody here runs.
 
         The answer to a claim was lost and could not be read back, or a former
         leader's claim landed late. Such a job would stand still for ever.
         """
-        orphans = [
+        stalled = [
             job
             for job in self._ledger.jobs.values()
             if job.state in ("starting", "running")
             and job.epoch <= self._epoch
             and job.spec.id not in self.accounting.gangs
         ]
-        if not orphans:
+        if not stalled:
             return
-        reached = {n for n, w in self.accounting.workers.items() if w.claimed}
+        claimed_workers = {n for n, w in self.accounting.workers.items() if w.claimed}
         index = TaskIndex(self.accounting.workers.values())
-        for job in orphans:
-            self._recover_job(job, reached, index)
+        for job in stalled:
+            self._recover_job(job, claimed_workers, index)
 
     def _handle_cancellations(self) -> None:
         for job in list(self._ledger.jobs.values()):
@@ -169,9 +173,11 @@
                     gang.stopping = True
                     runner.inbox.put_nowait(StopGang("cancelled"))
             elif job.state == "queued":
-                self._act(Finish(job.spec.id, "not_run", "cancelled before it ran"))
+                self._apply_action(
+                    Finish(job.spec.id, "not_run", "cancelled before it ran")
+                )
 
-    def _act(self, action: Action) -> None:
+    def _apply_action(self, action: Action) -> None:
         if isinstance(action, Place):
             record = self._ledger.jobs[action.job]
             wall = self._clock.read_wall()
--- a/src/firladder/_internal/scheduler/gangs.py
+++ b/src/firladder/_internal/scheduler/gangs.py
@@ -14,8 +14,14 @@
 from ..models.request import Outcome
 from ..models.task import RenewTasks
 from ..utils.events import Event
-from .changes import adopt_attempt, begin_attempt, confirm_start, finish, queue_again
 from .gang_messages import GangMessage, MemberEnded, MemberLost, StopGang
+from .job_changes import (
+    adopt_attempt,
+    begin_attempt,
+    confirm_start,
+    finish,
+    requeue,
+)
 from .members import GangMembers
 
 
@@ -35,7 +41,7 @@
     async def start(self) -> None:
         """Claim the job, reserve on all workers, start all, and see it through."""
         if not await self._claim():
-            self._leave()
+            self._release()
             return
         self._chart.fire("claim")
         started = (
@@ -67,8 +73,8 @@
                 self._job, lambda job: adopt_attempt(job, record)
             )
             if isinstance(written, StoreConflict):
-                await self._stop_all(polite=False)
-                self._leave()
+                await self._stop_all(graceful=False)
+                self._release()
                 return
         await self._watch()
 
@@ -153,12 +159,12 @@
                         m for m in self._members if self._name_task(m) in awaited
                     )
                     continue
-            await self._end_by(message)
+            await self._end_for(message)
             return
         await self._finish("done", None)
 
-    async def _end_by(self, message: GangMessage) -> None:
-        await self._stop_all(polite=isinstance(message, StopGang))
+    async def _end_for(self, message: GangMessage) -> None:
+        await self._stop_all(graceful=isinstance(message, StopGang))
         if isinstance(message, StopGang):
             await self._end_stopped(message)
         elif isinstance(message, MemberLost):
@@ -170,7 +176,7 @@
                 if self._name_task(m) == message.status.task
             )
             if message.status.state == "failed":
-                self._blame(worker)
+                self._record_failure(worker)
             await self._retry(f"member ended: {message.status.state} on {worker}")
 
     async def _end_stopped(self, message: StopGang) -> None:
@@ -185,7 +191,7 @@
 
     async def _abort(self) -> None:
         """Undo a start that did not come about whole."""
-        await self._stop_all(polite=False)
+        await self._stop_all(graceful=False)
         self._record(Event.GANG_ABORTED)
         if self._ran:
             await self._retry("a member did not start")
@@ -208,7 +214,7 @@
             return
         await self._ledger.write_until_done(
             self._job,
-            lambda job: queue_again(
+            lambda job: requeue(
                 job,
                 attempt=known.attempt,
                 reason=reason,
@@ -218,7 +224,7 @@
             ),
         )
         self._record(Event.GANG_ENDED, reason=reason)
-        self._leave()
+        self._release()
 
     async def _finish(self, outcome: Outcome, reason: str | None) -> None:
         if not self._may_write():
@@ -230,15 +236,15 @@
         )
         if not isinstance(result, StoreConflict):
             self._record(Event.JOB_ENDED, outcome=outcome)
-        self._leave()
+        self._release()
 
     def _may_write(self) -> bool:
         # A job whose members this leader could not end or outwait, because it
         # lost its term over it, is its successor's to judge. That the term is
         # not over elsewhere, each write lets the store compare.
-        return self._leadership.serves(self._epoch)
+        return self._leadership.is_current_term(self._epoch)
 
-    def _leave(self) -> None:
+    def _release(self) -> None:
         self._chart.fire("end")
-        self._books.gangs.pop(self._job, None)
+        self._accounting.gangs.pop(self._job, None)
         self._ledger.changed.set()
--- a/src/firladder/_internal/scheduler/guarantees.py
+++ b/src/firladder/_internal/scheduler/guarantees.py
@@ -11,15 +11,15 @@
     def __init__(self, timeline: Timeline) -> None:
         """Record every change on ``timeline``."""
         self._timeline = timeline
-        self._seen: tuple[int, frozenset[str]] | None = None
+        self._checked: tuple[int, frozenset[str]] | None = None
         self.degraded: dict[str, str] = {}
 
     def check(self, view: DomainView, *, revision: int) -> None:
         """Look again if the workers or the configuration have changed."""
         usable = frozenset(w.name for w in view.workers if w.usable)
-        if (revision, usable) == self._seen:
+        if (revision, usable) == self._checked:
             return
-        self._seen = (revision, usable)
+        self._checked = (revision, usable)
         degraded = find_degraded(view)
         for name in degraded.keys() - self.degraded.keys():
             self._timeline.record(
--- a/src/firladder/_internal/scheduler/changes.py
+++ b/src/firladder/_internal/scheduler/job_changes.py
@@ -51,7 +51,7 @@
     )
 
 
-def queue_again(
+def requeue(
     job: JobRecord,
     *,
     attempt: int,
--- a/src/firladder/_internal/scheduler/leadership.py
+++ b/src/firladder/_internal/scheduler/leadership.py
@@ -24,7 +24,7 @@
 
 PREFIX = "leaders/"
 
-CLOCK_MARGIN = 0.1
+LEASE_MARGIN_SHARE = 0.1
 """Part of the lease that is not used, for clocks that run at different speeds
 and for the time a command is on its way."""
 
@@ -89,7 +89,7 @@
         """Return the epoch of the present term of office, or 0 without one."""
         return 0 if self._chart.state in ("following", "stopped") else self.epoch
 
-    def serves(self, epoch: int) -> bool:
+    def is_current_term(self, epoch: int) -> bool:
         """Tell whether the term of this epoch goes on, as far as is known here.
 
         Other than ``may_act`` it stays true while a renewal is late. Giving work
@@ -169,8 +169,8 @@
             await self._store.revoke_lease(lease)
             return
         self._lease, self.epoch = lease, epoch
-        self._extend(started, lease.ttl_s)
-        self._move("win", Event.LEADERSHIP_GAINED)
+        self._extend_lease(started, lease.ttl_s)
+        self._change_state("win", Event.LEADERSHIP_GAINED)
 
     async def _read_epoch(
         self,
@@ -189,30 +189,30 @@
         found = msgspec.json.decode(entry.value, type=LeaderRecord)
         return entry.mod_revision if found.write_id == record.write_id else None
 
-    def _extend(self, asked_at: float, ttl_s: float) -> None:
+    def _extend_lease(self, sent_at: float, ttl_s: float) -> None:
         # The lease counts in the store from when the call arrived there, which
         # is never before it was sent.
-        self._valid_until = asked_at + ttl_s * (1 - CLOCK_MARGIN)
+        self._valid_until = sent_at + ttl_s * (1 - LEASE_MARGIN_SHARE)
 
     async def _renew(self) -> None:
         assert self._lease is not None
-        asked_at = self._clock.read_monotonic()
+        sent_at = self._clock.read_monotonic()
         lease = self._lease
         result = await self._store.renew_lease(lease, timeout_s=self._ttl_s / 3)
         if self._lease is not lease:
             # Stopped, or stepped down, while the answer was on its way.
             return
         if isinstance(result, Lease):
-            self._extend(asked_at, result.ttl_s)
+            self._extend_lease(sent_at, result.ttl_s)
             if self._chart.state == "isolated":
-                self._move("rejoin", Event.LEADERSHIP_GAINED)
+                self._change_state("rejoin", Event.LEADERSHIP_GAINED)
             return
         if isinstance(result, StoreConflict):
             self.step_down("the lease has expired")
             return
-        self._go_on_without_store(asked_at)
+        self._lead_without_store(sent_at)
 
-    def _go_on_without_store(self, asked_at: float) -> None:
+    def _lead_without_store(self, sent_at: float) -> None:
         """Lead on without the store, unless a peer can lead with it.
 
         Stopping with the store would end every running gang of the failure
@@ -227,7 +227,7 @@
             if now < self._valid_until:
                 return
             self._isolated_since = now
-            self._move("cut_off", Event.LEADERSHIP_ISOLATED)
+            self._change_state("cut_off", Event.LEADERSHIP_ISOLATED)
         elif now - self._isolated_since >= self.isolated_start_delay_s and any(
             p.store_reachable for p in peers
         ):
@@ -235,7 +235,7 @@
             return
         # Granted by itself, and only from the last try on: a pause longer than
         # a lease still ends it, and the next try hears of a successor first.
-        self._valid_until = asked_at + self._ttl_s
+        self._valid_until = sent_at + self._ttl_s
 
     def finish_claiming(self) -> None:
         """Note that every reachable worker obeys this epoch."""
@@ -247,10 +247,10 @@
             return
         self._valid_until = 0.0
         self._lease = None
-        self._move("lose", Event.LEADERSHIP_LOST, reason=reason)
+        self._change_state("lose", Event.LEADERSHIP_LOST, reason=reason)
         self.epoch = 0
 
-    def _move(self, event: str, record: Event, **details: str) -> None:
+    def _change_state(self, event: str, record: Event, **details: str) -> None:
         illegal = self._chart.fire(event)
         assert illegal is None, illegal
         self._timeline.record(record, epoch=self.epoch, **details)
--- a/src/firladder/_internal/scheduler/ledger.py
+++ b/src/firladder/_internal/scheduler/ledger.py
@@ -19,7 +19,7 @@
 
 PREFIX = "jobs/"
 
-WRITE_PAUSE_S = 0.5
+WRITE_RETRY_S = 0.5
 
 
 class Ledger:
@@ -56,14 +56,14 @@
     def read_entries(self, entries: dict[str, Entry]) -> None:
         """Take over the store's state of all jobs."""
         for entry in entries.values():
-            self._adopt(entry)
+            self._apply(entry)
         gone = set(self._revisions) - set(entries)
         for key in gone:
             del self._revisions[key]
             self.jobs.pop(key.removeprefix(PREFIX), None)
         self.changed.set()
 
-    def _adopt(self, entry: Entry) -> None:
+    def _apply(self, entry: Entry) -> None:
         if entry.mod_revision <= self._revisions.get(entry.key, 0):
             # The mirror lags behind what this leader itself has written.
             return
@@ -83,32 +83,33 @@
         ``change`` returns None if the job as it now is must not be changed.
         """
         key = PREFIX + job_id
-        minted: set[str] = set()
+        write_ids: set[str] = set()
         while True:
             job = self.jobs.get(job_id)
             if job is None:
                 return StoreConflict(reason="the job is gone")
-            if job.write_id in minted:
+            if job.write_id in write_ids:
                 # A write whose answer was lost has taken effect after all.
                 return job
-            wanted = change(job) if job.epoch <= self._term.mod_revision else None
-            if wanted is None:
+            updated = change(job) if job.epoch <= self._term.mod_revision else None
+            if updated is None:
                 return StoreConflict(reason="the job has moved on")
-            wanted = msgspec.structs.replace(
-                wanted,
+            updated = msgspec.structs.replace(
+                updated,
                 write_id=mint_write_id(),
                 epoch=self._term.mod_revision,
                 clock=self._logical.advance(),
             )
-            minted.add(wanted.write_id)
-            seen = self._revisions[key]
+            write_ids.add(updated.write_id)
+            known_revision = self._revisions[key]
             result = await self._store.commit(
-                [Compare(key, seen), self._term], [Put(key, encode_json(wanted))]
+                [Compare(key, known_revision), self._term],
+                [Put(key, encode_json(updated))],
             )
             if isinstance(result, Committed):
-                self._revisions[key] = max(seen, result.revision)
-                self.jobs[job_id] = wanted
-                return wanted
+                self._revisions[key] = max(known_revision, result.revision)
+                self.jobs[job_id] = updated
+                return updated
             if isinstance(result, StoreUnavailable):
                 return result
             # A caller's cancellation came between, or our own write took
@@ -119,14 +120,17 @@
             if found is None:
                 self.jobs.pop(job_id, None)
                 continue
-            if isinstance(result, StoreConflict) and found.mod_revision == seen:
+            if (
+                isinstance(result, StoreConflict)
+                and found.mod_revision == known_revision
+            ):
                 self._on_superseded()
                 return StoreConflict(reason="another leader has been elected")
             # What was just read counts even if it is older than what is known
             # here, as after a restore of the store: compared with a revision
             # that the store no longer has, the write would be tried for ever.
             self._revisions.pop(key, None)
-            self._adopt(found)
+            self._apply(found)
 
     async def write_until_done(
         self, job_id: str, change: Callable[[JobRecord], JobRecord | None]
@@ -136,4 +140,4 @@
             result = await self.write(job_id, change)
             if isinstance(result, JobRecord | StoreConflict):
                 return result
-            await asyncio.sleep(WRITE_PAUSE_S)
+            await asyncio.sleep(WRITE_RETRY_S)
--- a/src/firladder/_internal/scheduler/members.py
+++ b/src/firladder/_internal/scheduler/members.py
@@ -17,10 +17,10 @@
 from .ledger import Ledger
 from .recovery import name_task
 
-LAPSE_MARGIN_S = 0.5
+EXPIRY_MARGIN_S = 0.5
 """Added to a lease before its end is taken for granted."""
 
-STOP_PAUSE_S = 0.2
+STOP_RETRY_S = 0.2
 
 AVOID_S = 60.0
 """Seconds for which a job keeps off a worker on which a member of it failed. A
@@ -49,7 +49,7 @@
         """Prepare for one term of office; ``start`` or ``adopt`` does the rest."""
         self._gang = gang
         self._members = gang.members
-        self._books = accounting
+        self._accounting = accounting
         self._ledger = ledger
         self._workers = workers
         self._leadership = leadership
@@ -62,7 +62,7 @@
         self._job = gang.record.spec.id
         self._ran = False
         self._lease_s = 2 * times.start_ttl_s
-        self._touched_at = clock.read_monotonic()
+        self._last_command_at = clock.read_monotonic()
         self.inbox: asyncio.Queue[GangMessage] = asyncio.Queue()
 
     def _record(self, event: Event, **details: Any) -> None:
@@ -75,7 +75,7 @@
         )
 
     def _address(self, member: Member) -> str:
-        return self._books.workers[member.worker].machine.address
+        return self._accounting.workers[member.worker].machine.address
 
     async def _reserve_all(self) -> bool:
         spec, record = self._gang.record.spec, self._gang.record
@@ -131,17 +131,17 @@
                 "done",
             )
             if not running:
-                self._blame(member.worker)
+                self._record_failure(member.worker)
                 return False
         return True
 
     async def _command(self, member: Member, send: Callable[[Member], Any]) -> Any:
         if not self._leadership.may_act(self._epoch):
             return FencedOff(reason="the lease may have ended")
-        if member.worker not in self._books.workers:
+        if member.worker not in self._accounting.workers:
             return WorkerUnreachable(reason="the worker left the VM list")
         result = await send(member)
-        self._touched_at = self._clock.read_monotonic()
+        self._last_command_at = self._clock.read_monotonic()
         if isinstance(result, FencedOff):
             self._leadership.step_down("a worker obeys a higher epoch")
         return result
@@ -149,31 +149,31 @@
     def _name_task(self, member: Member) -> str:
         return name_task(member, self._gang.record.attempt)
 
-    def _blame(self, worker: str) -> None:
+    def _record_failure(self, worker: str) -> None:
         """Count a failure against the worker, and try the job elsewhere."""
         self._on_worker_failure(worker, self._job)
-        avoid = self._books.avoid
+        avoid = self._accounting.avoid
         avoid[self._job] = avoid.get(self._job, frozenset()) | {worker}
-        asyncio.get_running_loop().call_later(AVOID_S, self._allow, worker)
+        asyncio.get_running_loop().call_later(AVOID_S, self._stop_avoiding, worker)
 
-    def _allow(self, worker: str) -> None:
-        avoid = self._books.avoid
+    def _stop_avoiding(self, worker: str) -> None:
+        avoid = self._accounting.avoid
         avoid[self._job] = avoid.get(self._job, frozenset()) - {worker}
 
-    def _has_lapsed(self, worker: str) -> bool:
+    def _has_expired(self, worker: str) -> bool:
         """Tell whether a task lease on a worker out of reach has surely ended."""
-        state = self._books.workers.get(worker)
-        touched_at = self._touched_at
+        state = self._accounting.workers.get(worker)
+        last_command_at = self._last_command_at
         if state is not None:
             if state.claimed:
                 # Within reach, so its tasks are renewed and must be stopped.
                 return False
-            touched_at = max(touched_at, state.renewed_at)
+            last_command_at = max(last_command_at, state.renewed_at)
         return self._clock.read_monotonic() >= (
-            touched_at + self._lease_s + LAPSE_MARGIN_S
+            last_command_at + self._lease_s + EXPIRY_MARGIN_S
         )
 
-    async def _stop_all(self, *, polite: bool) -> None:
+    async def _stop_all(self, *, graceful: bool) -> None:
         """End every member, or wait until its lease has lapsed.
 
         By force once the polite time is over. Returning earlier would let the
@@ -182,11 +182,11 @@
         self._chart.fire("stop")
         self._gang.stopping = True
         began = self._clock.read_monotonic()
-        grace_s = self._times.stop_grace_s if polite else 0.0
+        grace_s = self._times.stop_grace_s if graceful else 0.0
         left = list(self._members)
-        if polite and self._gang.record.spec.checkpointable:
-            await asyncio.gather(*(self._save(m) for m in left))
-        while left and self._leadership.serves(self._epoch):
+        if graceful and self._gang.record.spec.checkpointable:
+            await asyncio.gather(*(self._checkpoint(m) for m in left))
+        while left and self._leadership.is_current_term(self._epoch):
             now = self._clock.read_monotonic()
             mode: Literal["polite", "force"] = (
                 "polite" if now < began + grace_s else "force"
@@ -196,9 +196,9 @@
             # What has ended is free for others while the rest lapses.
             self._gang.members = tuple(left)
             if left:
-                await asyncio.sleep(STOP_PAUSE_S)
+                await asyncio.sleep(STOP_RETRY_S)
 
-    async def _save(self, member: Member) -> None:
+    async def _checkpoint(self, member: Member) -> None:
         await self._command(
             member,
             lambda m: self._workers.checkpoint(
@@ -207,10 +207,10 @@
         )
 
     async def _stop(self, member: Member, mode: Literal["polite", "force"]) -> bool:
-        state = self._books.workers.get(member.worker)
+        state = self._accounting.workers.get(member.worker)
         if state is None or not state.claimed:
-            return self._has_lapsed(member.worker)
-        touched_at = self._touched_at
+            return self._has_expired(member.worker)
+        last_command_at = self._last_command_at
         result = await self._command(
             member,
             lambda m: self._workers.stop(
@@ -218,7 +218,7 @@
             ),
         )
         # A stop does not lengthen a lease.
-        self._touched_at = touched_at
+        self._last_command_at = last_command_at
         if isinstance(result, TaskStatus):
             return result.state in ENDED
         return isinstance(result, Failure) and "404" in result.reason
--- a/src/firladder/_internal/scheduler/recovery.py
+++ b/src/firladder/_internal/scheduler/recovery.py
@@ -37,27 +37,29 @@
     return f"{member.task}.a{attempt}"
 
 
-def is_sound(job: JobRecord, reached: Collection[str], found: FoundTasks) -> bool:
+def is_intact(
+    job: JobRecord, claimed_workers: Collection[str], found: FoundTasks
+) -> bool:
     """Tell whether every member on a worker within reach runs or is done.
 
     Members are confirmed only when all have started, so that confirmed ones
     speak for those on a worker that does not answer yet.
     """
-    asked = [m for m in job.members if m.worker in reached]
+    asked = [m for m in job.members if m.worker in claimed_workers]
     tasks = [found.get(name_task(m, job.attempt)) for m in asked]
     return (
         bool(job.members)
         and (bool(asked) or job.state == "running")
-        and all(t is not None and _is_well(t[1]) for t in tasks)
+        and all(t is not None and _is_running_or_done(t[1]) for t in tasks)
     )
 
 
-def _is_well(task: TaskStatus) -> bool:
+def _is_running_or_done(task: TaskStatus) -> bool:
     return task.state == "done" or (task.state == "running" and task.confirmed)
 
 
-def find_unwritten(
-    job: JobRecord, reached: Collection[str], index: TaskIndex
+def find_unrecorded_attempt(
+    job: JobRecord, claimed_workers: Collection[str], index: TaskIndex
 ) -> JobRecord | None:
     """Return the attempt that an isolated leader has started whole, or None.
 
@@ -71,5 +73,5 @@
         for name, (worker, task) in found.items()
     )
     record = msgspec.structs.replace(attempt, members=members)
-    whole = len(members) == job.spec.members
-    return record if whole and is_sound(record, reached, found) else None
+    complete = len(members) == job.spec.members
+    return record if complete and is_intact(record, claimed_workers, found) else None
--- a/src/firladder/_internal/scheduler/following.py
+++ b/src/firladder/_internal/scheduler/worker_follower.py
@@ -23,13 +23,13 @@
 from .ledger import Ledger
 from .recovery import name_task
 
-IDLE_PAUSE_S = 0.25
+RENEW_POLL_S = 0.25
 """Seconds until a worker that may not be renewed yet is looked at again."""
 
-FOLLOW_WAIT_S = 5.0
+LONG_POLL_S = 5.0
 """Seconds a worker may hold a question for changes."""
 
-LOST_PART = 0.5
+LOST_LEASE_SHARE = 0.5
 """Part of a task lease after which a silent worker counts as lost."""
 
 
@@ -93,8 +93,8 @@
         was ended meanwhile. Renewing first would keep that member running, as
         a worker's leases are renewed together.
         """
-        strays = [t for t in state.list_held() if not self._is_wanted(t)]
-        ended = await asyncio.gather(*(self._stop_stray(state, t) for t in strays))
+        orphans = [t for t in state.list_held() if not self._is_member(t)]
+        ended = await asyncio.gather(*(self._stop_orphan(state, t) for t in orphans))
         if not all(ended):
             return
         state.claimed = True
@@ -104,11 +104,11 @@
             Event.WORKER_CLAIMED, worker=state.machine.name, epoch=self._epoch
         )
 
-    def _is_wanted(self, task: TaskStatus) -> bool:
+    def _is_member(self, task: TaskStatus) -> bool:
         gang = self.accounting.gangs.get(task.job)
         return gang is not None and gang.record.attempt == task.attempt
 
-    async def _stop_stray(self, state: WorkerState, task: TaskStatus) -> bool:
+    async def _stop_orphan(self, state: WorkerState, task: TaskStatus) -> bool:
         if not self._leadership.may_act(self._epoch):
             return False
         result = await self._workers.stop(
@@ -132,23 +132,23 @@
                 elif task not in state.tasks:
                     runner.inbox.put_nowait(MemberLost(name))
 
-    def _note_worker_failure(self, worker: str, job: str) -> None:
+    def _record_worker_failure(self, worker: str, job: str) -> None:
         state = self.accounting.workers.get(worker)
         if state is None:
             return
-        if state.conduct.record_failure(job, self._clock.read_monotonic()):
+        if state.health.record_failure(job, self._clock.read_monotonic()):
             self._timeline.record(
                 Event.WORKER_QUARANTINED,
                 worker=worker,
-                jobs=sorted(state.conduct.failed_jobs),
+                jobs=sorted(state.health.failed_jobs),
             )
 
-    def _note_worker_success(self, worker: str, job: str) -> None:
+    def _record_worker_success(self, worker: str, job: str) -> None:
         state = self.accounting.workers[worker]
         if state.quarantined:
             self._timeline.record(Event.WORKER_RETURNED, worker=worker, job=job)
-        state.conduct.record_success()
-        self.accounting.note_run(
+        state.health.record_success()
+        self.accounting.record_run(
             job, self._configuration.current, self._clock.read_wall()
         )
 
@@ -166,20 +166,20 @@
                 if await self._claim(state):
                     await self._admit(state)
                 if not state.claimed:
-                    self._note_silence(state)
+                    self._check_silence(state)
                     await asyncio.sleep(0.5)
                     continue
             report = await self._workers.follow(
-                state.machine.address, since=state.sequence, wait_s=FOLLOW_WAIT_S
+                state.machine.address, since=state.sequence, wait_s=LONG_POLL_S
             )
             if isinstance(report, TaskReport):
-                self._take_report(name, report)
+                self._handle_report(name, report)
                 continue
-            self._note_silence(state)
+            self._check_silence(state)
             await asyncio.sleep(0.3)
         self._followed.discard(name)
 
-    def _take_report(self, name: str, report: TaskReport) -> None:
+    def _handle_report(self, name: str, report: TaskReport) -> None:
         if report.epoch > self._epoch:
             self._timeline.record(Event.WORKER_FENCED, worker=name)
             self._leadership.step_down("a worker obeys a higher epoch")
@@ -196,13 +196,13 @@
             if task.state in ENDED and runner is not None:
                 runner.inbox.put_nowait(MemberEnded(task))
             if task.state == "done":
-                self._note_worker_success(name, task.job)
+                self._record_worker_success(name, task.job)
         if report.tasks:
             self._ledger.changed.set()
 
-    def _note_silence(self, state: WorkerState) -> None:
+    def _check_silence(self, state: WorkerState) -> None:
         silent_s = self._clock.read_monotonic() - state.heard_at
-        lost = silent_s > self._times.task_ttl_s * LOST_PART
+        lost = silent_s > self._times.task_ttl_s * LOST_LEASE_SHARE
         if not lost or not state.reachable:
             return
         name = state.machine.name
@@ -217,7 +217,7 @@
         """Renew the leases of all confirmed tasks of a worker, in one call."""
         while (state := self.accounting.workers.get(name)) is not None:
             if not state.claimed or not self._leadership.may_act(self._epoch):
-                await asyncio.sleep(IDLE_PAUSE_S)
+                await asyncio.sleep(RENEW_POLL_S)
                 continue
             if not state.list_held():
                 # Nothing to renew. A confirmed task is in the worker's next
@@ -227,7 +227,7 @@
                 continue
             # At once on the first turn: a takeover has used up much of the
             # leases that the former leader gave.
-            asked_at = self._clock.read_monotonic()
+            sent_at = self._clock.read_monotonic()
             report = await self._workers.renew(
                 state.machine.address,
                 RenewTasks(self._epoch, self._times.task_ttl_s),
@@ -239,7 +239,7 @@
             else:
                 # Sooner than the long question for changes, which may be held
                 # for seconds by a worker that is cut off.
-                self._note_silence(state)
+                self._check_silence(state)
             # Whether or not the answer came back, the leases may count from now.
-            state.renewed_at = asked_at
+            state.renewed_at = sent_at
             await asyncio.sleep(self._times.task_ttl_s / 4)
