--- a/src/firladder/_internal/scheduler/accounting.py
+++ b/src/firladder/_internal/scheduler/accounting.py
@@ -1,4 +1,4 @@
-"""The leader's books: which worker holds what, rebuilt from the workers."""
+"""The leader's account of workers and gangs, rebuilt from what the workers report."""
 
 import dataclasses
 from collections.abc import Iterable, Mapping
@@ -14,12 +14,13 @@
 from ..policies.selectors import Steering, collect_labels, find_steering
 
 MAX_CACHED_STEERINGS = 4096
-"""Steerings remembered for a revision of the configuration; a job's labels give
-the same one in every pass, and finding it walks all rules."""
+"""Steerings cached for one revision of the configuration. A job's labels give the
+same one in every pass, and finding it evaluates all rules."""
 
 SteeringKey = tuple[str, Urgency, tuple[tuple[str, str], ...]]
 
 HeldResources = tuple[tuple[int, ...], int, int]
+"""What a task holds: accelerators by number, processors, and memory in MB."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -38,7 +39,7 @@
 
     @property
     def quarantined(self) -> bool:
-        """Tell whether the worker has failed too many jobs."""
+        """Return whether the worker has failed too many jobs."""
         return self.health.quarantined
 
     def list_held(self) -> list[TaskStatus]:
@@ -48,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True)
 class GangState:
-    """A gang that this leader starts or runs."""
+    """A gang that this leader starts or runs, and whether it is being stopped."""
 
     record: JobRecord
     members: tuple[Member, ...]
@@ -59,10 +60,10 @@
 
 
 class Accounting:
-    """All workers and gangs of one failure domain."""
+    """The workers and gangs of one failure domain, and what each holds."""
 
     def __init__(self, failure_domain: str) -> None:
-        """Start empty."""
+        """Create the account with no workers and no gangs."""
         self.failure_domain = failure_domain
         self.workers: dict[str, WorkerState] = {}
         self.gangs: dict[str, GangState] = {}
@@ -73,7 +74,10 @@
         self._steering_configuration: Configuration | None = None
 
     def update_machines(self, machines: Iterable[Machine]) -> None:
-        """Take over the VM list's workers of this failure domain."""
+        """Replace the workers by those of the VM list.
+
+        A worker that left the list stays as long as it holds tasks.
+        """
         listed = {m.name: m for m in machines}
         for name in set(self.workers) - set(listed):
             if not self.workers[name].list_held():
@@ -82,7 +86,7 @@
             self.workers.setdefault(name, WorkerState(machine)).machine = machine
 
     def apply_report(self, name: str, report: TaskReport, now: float) -> None:
-        """Take over what a worker said."""
+        """Update a worker and its tasks from its report."""
         state = self.workers[name]
         state.reachable = True
         state.heard_at = now
@@ -96,7 +100,7 @@
                 state.tasks[task.task] = task
 
     def summarise_workers(self) -> tuple[WorkerSummary, ...]:
-        """Return every worker as status shows it."""
+        """Return a summary of each worker for the status."""
         return tuple(
             WorkerSummary(
                 name=w.machine.name,
@@ -118,9 +122,9 @@
         idempotent_only: bool,
         monotonic: float = 0.0,
     ) -> DomainView:
-        """Return all that a placement decision may look at.
+        """Return everything that a placement decision may depend on.
 
-        ``monotonic`` is the time by which quarantines end.
+        ``monotonic`` is the monotonic time at which quarantines are checked.
         """
         allocations = self._list_allocations()
         return DomainView(
@@ -148,12 +152,15 @@
         )
 
     def retract_failure(self, job: str) -> None:
-        """Take back what workers have against them for a job that is to blame."""
+        """Discard the failures that workers have on record for a job at fault."""
         for state in self.workers.values():
             state.health.retract_failure(job)
 
     def record_run(self, job: str, configuration: Configuration, now: float) -> None:
-        """Learn from a job's real run time, which a member's end tells."""
+        """Record a job's run time in the history, now that a member has ended.
+
+        Only first attempts that nobody stopped count.
+        """
         gang = self.gangs.get(job)
         if gang is None or gang.record.attempt > 1 or gang.stopping:
             return
@@ -162,13 +169,14 @@
         self.history.record_run(spec, steering.organisation, now - gang.started_at)
 
     def _is_allocated(self, task: TaskStatus) -> bool:
-        # A worker's name for a task carries the attempt, the gang's does not;
-        # told apart by name, each member's processors would count twice.
+        # Compared by job and attempt: a worker's name for a task includes the
+        # attempt, the gang's does not. Compared by name, they would never match,
+        # and each member's processors would count twice.
         gang = self.gangs.get(task.job)
         return gang is not None and gang.record.attempt == task.attempt
 
     def _list_allocations(self) -> dict[str, dict[str, HeldResources]]:
-        """Return what gangs were promised of each worker, by task."""
+        """Return what is allocated to gangs on each worker, by worker and task."""
         allocations: dict[str, dict[str, HeldResources]] = {}
         for gang in self.gangs.values():
             spec = gang.record.spec
@@ -205,9 +213,9 @@
         monotonic: float,
     ) -> WorkerView:
         machine = state.machine
-        # What a gang was promised counts from the decision on, what a worker
-        # reports until it says that it ended: neither alone would keep two
-        # gangs off the same accelerator while messages are on their way.
+        # An allocation counts from the decision on, a reported task until its
+        # worker reports its end. Either alone would let two gangs share an
+        # accelerator while messages are in flight.
         reported = {
             t.task: (t.accelerators, t.cpus, t.memory_mb)
             for t in state.list_held()
--- a/src/firladder/_internal/scheduler/guarantees.py
+++ b/src/firladder/_internal/scheduler/guarantees.py
@@ -1,4 +1,4 @@
-"""Notice whose guaranteed shape has no place, and when it has one again."""
+"""Report guaranteed shapes that can no longer be placed, and their restoration."""
 
 from ..policies.cells import find_degraded
 from ..policies.placement import DomainView
@@ -15,7 +15,7 @@
         self.degraded: dict[str, str] = {}
 
     def check(self, view: DomainView, *, revision: int) -> None:
-        """Look again if the workers or the configuration have changed."""
+        """Update ``degraded`` if the usable workers or the configuration changed."""
         usable = frozenset(w.name for w in view.workers if w.usable)
         if (revision, usable) == self._checked:
             return
--- a/src/firladder/_internal/scheduler/job_changes.py
+++ b/src/firladder/_internal/scheduler/job_changes.py
@@ -1,7 +1,7 @@
-"""What becomes of a job's record at each step of its gang.
+"""Changes of a job's record at each transition of its gang.
 
-Each function returns the record to write, or None if the job, as the store has
-it by now, must not be changed that way.
+Each function returns the record to write, or None if the job as the store now
+has it does not allow the change.
 """
 
 import msgspec
@@ -13,7 +13,7 @@
 def begin_attempt(
     job: JobRecord, members: tuple[Member, ...], *, cell: str = ""
 ) -> JobRecord | None:
-    """Write the next attempt down, unless somebody cancelled or began it."""
+    """Begin the next attempt, unless the job was cancelled or has begun."""
     if job.state != "queued" or job.cancel_requested:
         return None
     return msgspec.structs.replace(
@@ -22,14 +22,14 @@
 
 
 def confirm_start(job: JobRecord) -> JobRecord | None:
-    """Note that the whole gang runs."""
+    """Mark the job as running, now that all members run."""
     if job.state != "starting":
         return None
     return msgspec.structs.replace(job, state="running")
 
 
 def adopt_attempt(job: JobRecord, known: JobRecord) -> JobRecord | None:
-    """Take a gang over as it was found, unless its job has moved on."""
+    """Take over a gang as it was found, unless its job has changed state since."""
     if job.state != known.state:
         return None
     return msgspec.structs.replace(
@@ -43,7 +43,7 @@
 def finish(
     job: JobRecord, outcome: Outcome, reason: str | None, wall: float
 ) -> JobRecord | None:
-    """End the job, once."""
+    """End the job, unless it has ended."""
     if job.state == "finished":
         return None
     return msgspec.structs.replace(
@@ -60,7 +60,7 @@
     never_ran: bool,
     wall: float,
 ) -> JobRecord | None:
-    """Let the job wait for its next attempt, or end it if it was cancelled."""
+    """Queue the job for its next attempt, or end it if it was cancelled."""
     if job.state == "finished":
         return None
     if job.cancel_requested and never_ran:
@@ -70,10 +70,10 @@
     return msgspec.structs.replace(
         job,
         state="queued",
-        # Never lower: workers remember the names of an earlier attempt's tasks.
+        # Never lower: workers remember the task names of earlier attempts.
         attempt=max(job.attempt, attempt),
-        # Room made for others is no fault of the job: a rebuild that is evicted
-        # every night would else end as failed without a failure.
+        # A preemption is no failure of the job. Counted as one, a job preempted
+        # every night would end as failed although nothing went wrong.
         failures=job.failures + failed,
         members=(),
         cell="",
--- a/src/firladder/_internal/scheduler/ledger.py
+++ b/src/firladder/_internal/scheduler/ledger.py
@@ -1,4 +1,4 @@
-"""The jobs of one failure domain as the store has them, and writes to them."""
+"""The jobs of one failure domain as the store has them, and updates of them."""
 
 import asyncio
 import logging
@@ -25,8 +25,8 @@
 class Ledger:
     """A leader's copy of the jobs, and its only way to write them.
 
-    The mirrored prefix brings every job of every failure domain here. That
-    serves the letter's 830 jobs a day; a prefix for each domain comes with more.
+    The mirrored prefix holds the jobs of all failure domains. That is enough for
+    830 jobs a day; many more would need a prefix for each failure domain.
     """
 
     def __init__(
@@ -38,11 +38,11 @@
         on_superseded: Callable[[], None],
         logical: LogicalClock | None = None,
     ) -> None:
-        """Write in one term only; ``term`` compares the leader's key.
+        """Create an empty ledger; ``term`` compares the leader's key.
 
-        A leader that was paused after its last look at the clock sends a write
-        beside its successor's. The store itself refuses it, as the key of the
-        election has another revision by then or is gone.
+        Every write includes that comparison. A leader that was paused after its
+        last check of the clock may write beside its successor: the store refuses
+        that write, as the leader's key has another revision by then or is gone.
         """
         self._store = store
         self._failure_domain = failure_domain
@@ -54,7 +54,7 @@
         self.changed = asyncio.Event()
 
     def read_entries(self, entries: dict[str, Entry]) -> None:
-        """Take over the store's state of all jobs."""
+        """Replace the jobs by the store's state of them."""
         for entry in entries.values():
             self._apply(entry)
         gone = set(self._revisions) - set(entries)
@@ -65,11 +65,11 @@
 
     def _apply(self, entry: Entry) -> None:
         if entry.mod_revision <= self._revisions.get(entry.key, 0):
-            # The mirror lags behind what this leader itself has written.
+            # The mirror lags behind this leader's own writes.
             return
         job = msgspec.json.decode(entry.value, type=JobRecord)
-        # What is done about a job must come out behind its acceptance, and
-        # behind what a former leader did, on the time line.
+        # On the timeline, events of a job must follow its acceptance and what
+        # a former leader did with it.
         self._logical.merge(job.clock)
         self._revisions[entry.key] = entry.mod_revision
         if job.failure_domain == self._failure_domain:
@@ -78,9 +78,9 @@
     async def write(
         self, job_id: str, change: Callable[[JobRecord], JobRecord | None]
     ) -> JobRecord | StoreConflict | StoreUnavailable | StoreUncertain:
-        """Change a job by compare-and-swap, looking again after a conflict.
+        """Change a job by compare-and-swap, reading it again after a conflict.
 
-        ``change`` returns None if the job as it now is must not be changed.
+        ``change`` returns None if the job in its current state must not be changed.
         """
         key = PREFIX + job_id
         write_ids: set[str] = set()
@@ -89,7 +89,7 @@
             if job is None:
                 return StoreConflict(reason="the job is gone")
             if job.write_id in write_ids:
-                # A write whose answer was lost has taken effect after all.
+                # An earlier write of this call has taken effect, its answer lost.
                 return job
             updated = change(job) if job.epoch <= self._term.mod_revision else None
             if updated is None:
@@ -112,8 +112,8 @@
                 return updated
             if isinstance(result, StoreUnavailable):
                 return result
-            # A caller's cancellation came between, or our own write took
-            # effect and its answer was lost: read before trying again.
+            # A caller cancelled the job meanwhile, or this write took effect and
+            # its answer was lost: read the job before the next attempt.
             found: Any = await self._store.get(key)
             if isinstance(found, StoreUnavailable | StoreUncertain):
                 return StoreUncertain(reason="the write could not be read back")
@@ -126,16 +126,16 @@
             ):
                 self._on_superseded()
                 return StoreConflict(reason="another leader has been elected")
-            # What was just read counts even if it is older than what is known
-            # here, as after a restore of the store: compared with a revision
-            # that the store no longer has, the write would be tried for ever.
+            # Take what was read even if it is older than the copy here, as after
+            # a restore of the store. Comparing with a revision that the store no
+            # longer has would fail for ever.
             self._revisions.pop(key, None)
             self._apply(found)
 
     async def write_until_done(
         self, job_id: str, change: Callable[[JobRecord], JobRecord | None]
     ) -> JobRecord | StoreConflict:
-        """Write, waiting for the store to come back if it is down."""
+        """Change a job, repeating the write until the store is available."""
         while True:
             result = await self.write(job_id, change)
             if isinstance(result, JobRecord | StoreConflict):
--- a/src/firladder/_internal/scheduler/recovery.py
+++ b/src/firladder/_internal/scheduler/recovery.py
@@ -1,4 +1,4 @@
-"""Judge at a takeover which gangs run whole, from what the workers said."""
+"""Decide during a takeover which gangs are intact, from the workers' reports."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -15,8 +15,8 @@
 class TaskIndex:
     """All tasks that claimed workers have, the ended ones too, by attempt.
 
-    Made once for each takeover: looking through 3,200 tasks for each of some
-    hundred jobs would keep a leader from renewing in time.
+    Built once for a takeover: searching 3,200 tasks for each of some hundred
+    jobs would keep a leader from renewing its lease in time.
     """
 
     def __init__(self, workers: Iterable[WorkerState]) -> None:
@@ -28,7 +28,7 @@
                 attempt[task.task] = (state.machine.name, task)
 
     def find(self, job: JobRecord) -> FoundTasks:
-        """Return the tasks of the job's present attempt."""
+        """Return the tasks of the job's current attempt."""
         return self._attempts.get((job.spec.id, job.attempt), {})
 
 
@@ -40,10 +40,10 @@
 def is_intact(
     job: JobRecord, claimed_workers: Collection[str], found: FoundTasks
 ) -> bool:
-    """Tell whether every member on a worker within reach runs or is done.
+    """Return whether every member on a claimed worker runs or is done.
 
-    Members are confirmed only when all have started, so that confirmed ones
-    speak for those on a worker that does not answer yet.
+    Members are confirmed only after all have started, so a confirmed member
+    proves that those on workers that do not answer yet have started too.
     """
     asked = [m for m in job.members if m.worker in claimed_workers]
     tasks = [found.get(name_task(m, job.attempt)) for m in asked]
@@ -61,9 +61,9 @@
 def find_unrecorded_attempt(
     job: JobRecord, claimed_workers: Collection[str], index: TaskIndex
 ) -> JobRecord | None:
-    """Return the attempt that an isolated leader has started whole, or None.
+    """Return the attempt that an isolated leader has started completely, or None.
 
-    The store has such a job as queued, as the leader could not write.
+    The store still has such a job as queued, as that leader could not write.
     """
     attempt = msgspec.structs.replace(job, attempt=job.attempt + 1)
     found = index.find(attempt)
