--- a/src/firladder/_internal/scheduler/daemon.py
+++ b/src/firladder/_internal/scheduler/daemon.py
@@ -34,7 +34,7 @@
     """Metrics of a scheduler."""
 
     def __init__(self) -> None:
-        """Register the scheduler's own metrics beside the common ones."""
+        """Register the scheduler's metrics and those of every process."""
         super().__init__()
         self.epoch = self._gauge(
             "firladder_leader_epoch", "Epoch under which this process leads, or 0"
@@ -51,12 +51,12 @@
 
 
 class Scheduler(Process):
-    """Stand for election, and lead while elected."""
+    """Stand for election, and lead the failure domain while elected."""
 
     role = "scheduler"
 
     def __init__(self, settings: Mapping[str, Resolved]) -> None:
-        """Build all parts; nothing listens yet."""
+        """Build all parts; ``begin`` starts listening."""
         super().__init__(settings)
         self.metrics = SchedulerMetrics()
         self.worker_client = WorkerClient(
@@ -88,21 +88,21 @@
         return policy
 
     def describe(self) -> Heartbeat:
-        """Add this scheduler's epoch to the heartbeat."""
-        # From the election on, not only once the workers are claimed: a former
-        # leader without the store must hear of its successor before that.
+        """Return the heartbeat with this scheduler's epoch."""
+        # Set from the election on, before the workers are claimed: a former
+        # leader that cannot reach the store must hear of its successor by then.
         return msgspec.structs.replace(
             super().describe(), leading=self.leadership.elected_epoch
         )
 
     async def begin(self) -> None:
-        """Stand for election."""
+        """Start listening, and stand for election."""
         self.http.listen(self.read("http_address"))
         self.tasks.spawn(self.leadership.run(), name="leadership")
         self.tasks.spawn(self._serve_terms(), name="terms")
 
     async def _serve_terms(self) -> None:
-        """Serve each term of office from its gain to its loss."""
+        """Lead in each term from its election to its loss."""
         while True:
             await self.leadership.changed.wait()
             self.leadership.changed.clear()
@@ -159,7 +159,7 @@
         return self.leader.describe()
 
     def collect_metrics(self) -> None:
-        """Refresh all gauges."""
+        """Update all gauges."""
         metrics = self.metrics
         metrics.collect(self, self.http)
         metrics.epoch.set({}, self.describe().leading)
@@ -171,7 +171,7 @@
                 metrics.ended.set({"outcome": outcome}, count)
 
     async def drain(self) -> None:
-        """Finish the starts under way, then hand over; gangs go on running."""
+        """Finish pending starts, then resign; running gangs continue."""
         if self.leader is not None:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.leader.settle(), self.read("drain_s"))
@@ -180,7 +180,7 @@
         await self.http.stop_listening()
 
     async def close(self) -> None:
-        """Free all sockets."""
+        """Close all sockets."""
         if self.leader is not None:
             await self.leader.close()
         await self.http.close()
--- a/src/firladder/_internal/scheduler/domain.py
+++ b/src/firladder/_internal/scheduler/domain.py
@@ -23,29 +23,31 @@
 logger = logging.getLogger(__name__)
 
 PASS_INTERVAL_S = 0.25
-"""Longest time between placement passes; a change brings the next one at once."""
+"""Pause before the next placement pass while nothing changes. A change starts the
+next pass at once."""
 
 MAX_PASS_SHARE = 0.04
-"""Part of the time that passes may take while nothing changes."""
+"""Share of the time that passes may take while nothing changes; a pass that took
+long is followed by a longer pause."""
 
 MAX_PASS_INTERVAL_S = 2.0
-"""Longest time between passes, however long one took: gangs that wait for a lease
-to lapse are found by a pass, and a busy machine can make one look long."""
+"""Upper bound of the pause after a long pass. A pass has to notice that a lease has
+expired, and on a busy machine a pass can seem longer than it is."""
 
 MIN_PASS_INTERVAL_S = 0.05
-"""Shortest time between passes, so that a wave of cancellations or arrivals
-costs one pass and not one each."""
+"""Lower bound of the time between passes, so that a burst of cancellations or
+arrivals costs one pass instead of one each."""
 
 
 class DomainLeader(WorkerFollower):
-    """All that a leader does in one term of office."""
+    """Lead in one term: claim workers, recover gangs and place jobs."""
 
     async def run(self) -> None:
-        """Claim, recover, then place until cancelled."""
+        """Claim the workers, recover the gangs, then place jobs until cancelled."""
         self.accounting.update_machines(self._list_machines())
         states = list(self.accounting.workers.values())
-        claimed_workers = await asyncio.gather(*(self._claim(w) for w in states))
-        claimed = [w for w, known in zip(states, claimed_workers, strict=True) if known]
+        results = await asyncio.gather(*(self._claim(w) for w in states))
+        claimed = [w for w, ok in zip(states, results, strict=True) if ok]
         self._recover({w.machine.name for w in claimed})
         await asyncio.gather(*(self._admit(w) for w in claimed))
         self._leadership.finish_claiming()
@@ -55,8 +57,8 @@
             self._place()
             spent_s = self._clock.read_monotonic() - began
             await asyncio.sleep(MIN_PASS_INTERVAL_S)
-            # A long queue in a large failure domain makes a pass long; repeated
-            # four times a second, it would take whole cores to find nothing new.
+            # A long queue in a large failure domain makes a pass long. Repeated
+            # four times a second, passes would occupy whole cores to no effect.
             pause_s = max(
                 PASS_INTERVAL_S, min(spent_s / MAX_PASS_SHARE, MAX_PASS_INTERVAL_S)
             )
@@ -65,7 +67,7 @@
             self._ledger.changed.clear()
 
     def _recover(self, claimed_workers: set[str]) -> None:
-        """Take over gangs that run whole; end what is left of the others."""
+        """Take over gangs of which all members run; end the rest of the others."""
         index = TaskIndex(self.accounting.workers.values())
         for job in list(self._ledger.jobs.values()):
             if job.state in ("starting", "running"):
@@ -83,7 +85,7 @@
         self.accounting.gangs[job.spec.id] = gang
         runner = self._make_runner(gang)
         if job.state == "starting" and job.epoch == self._epoch:
-            # This leader's own claim, whose answer was lost; nothing was started.
+            # This leader's own claim whose answer was lost: nothing was started.
             self._tasks.spawn(runner.undo_claim(), name=f"undo-{job.spec.id}")
             return
         if not is_intact(job, claimed_workers, index.find(job)):
@@ -92,8 +94,10 @@
             gang.stopping = True
             runner.inbox.put_nowait(StopGang("cancelled"))
         for worker in {m.worker for m in job.members} - claimed_workers:
-            # One slow answer at a takeover must not end a gang that runs whole.
-            self._tasks.spawn(self._wait_for_worker(worker, runner), name="doubt")
+            # One slow answer during a takeover must not end a complete gang.
+            self._tasks.spawn(
+                self._wait_for_worker(worker, runner), name="wait-for-worker"
+            )
         self._tasks.spawn(runner.adopt(), name=f"gang-{job.spec.id}")
 
     async def _wait_for_worker(self, worker: str, runner: GangRunner) -> None:
@@ -120,7 +124,7 @@
         return runner
 
     def _place(self) -> None:
-        """Run one placement pass and carry its actions out."""
+        """Run one placement pass and apply its actions."""
         if not self._leadership.may_act(self._epoch) or not self.placing:
             return
         self._runners = {
@@ -143,10 +147,10 @@
             self._apply_action(action)
 
     def _recover_stalled_jobs(self) -> None:
-        """Take up jobs that the store has as started and nobody here runs.
+        """Recover jobs that the store has as started and that nobody here runs.
 
         The answer to a claim was lost and could not be read back, or a former
-        leader's claim landed late. Such a job would stand still for ever.
+        leader's claim arrived late. Such a job would otherwise never continue.
         """
         stalled = [
             job
@@ -205,7 +209,7 @@
             return
         if action.outcome == "failed":
             self.accounting.retract_failure(action.job)
-        # Listed as a gang without members so that no second pass acts on it.
+        # Listed as a gang without members so that the next pass leaves it alone.
         self.accounting.gangs[action.job] = GangState(
             record, (), self._clock.read_wall()
         )
@@ -232,7 +236,7 @@
         )
 
     def describe(self) -> DomainReply:
-        """Return this failure domain as status shows it."""
+        """Return the state of this failure domain for the status."""
         jobs = self._ledger.jobs.values()
         return DomainReply(
             failure_domain=self.accounting.failure_domain,
@@ -245,7 +249,7 @@
         )
 
     async def settle(self) -> None:
-        """Place nothing more, and wait until no gang is in mid-start."""
+        """Stop placing, and wait until no gang is starting."""
         self.placing = False
         while any(
             not self._runners[job].settled
@@ -255,5 +259,5 @@
             await asyncio.sleep(0.05)
 
     async def close(self) -> None:
-        """End the term: nothing is commanded any more."""
+        """End the term by cancelling all of its tasks."""
         await self._tasks.close()
--- a/src/firladder/_internal/scheduler/gang_messages.py
+++ b/src/firladder/_internal/scheduler/gang_messages.py
@@ -1,4 +1,4 @@
-"""What a gang's runner hears from its leader, and the times it goes by."""
+"""Messages from the leader to a gang's runner, and the runner's timeouts."""
 
 import dataclasses
 from typing import Literal
@@ -8,21 +8,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberEnded:
-    """A worker says that a member has ended."""
+    """A worker reports that a member has ended."""
 
     status: TaskStatus
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberLost:
-    """A member's worker is cut off, or has forgotten the member."""
+    """A member's worker is unreachable, or no longer knows the member."""
 
     worker: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopGang:
-    """The gang must end: cancelled by its caller, or evicted for another."""
+    """The gang must end: cancelled by its caller, or preempted for another."""
 
     cause: Literal["cancelled", "evicted"]
 
@@ -32,7 +32,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GangTimes:
-    """Times of a gang's life, in seconds; see the settings of the scheduler."""
+    """The settings of the scheduler that bound a gang's leases and its stop.
+
+    ``task_ttl_s`` is the lease of a confirmed member, ``start_ttl_s`` that of a
+    member until then; a stop by force follows after ``stop_grace_s``.
+    """
 
     task_ttl_s: float
     start_ttl_s: float
--- a/src/firladder/_internal/scheduler/gangs.py
+++ b/src/firladder/_internal/scheduler/gangs.py
@@ -1,8 +1,8 @@
 """Start, watch and end one gang: all of its members run, or none.
 
-A job goes back to "queued" in the store only when no member of the attempt can
-still run: each has confirmed its end, or its lease has certainly lapsed. So a
-successor may start whatever is queued, and needs to know nothing else.
+A job returns to "queued" in the store only when no member of the attempt can
+still run: each has confirmed its end, or its lease has certainly expired. So a
+successor may start any queued job without further checks.
 """
 
 import asyncio
@@ -26,20 +26,20 @@
 
 
 class GangRunner(GangMembers):
-    """One gang's task: owns its state and hears of the world by messages."""
+    """Runs one gang: owns its state, and is controlled by messages in ``inbox``."""
 
     @property
     def settled(self) -> bool:
-        """Tell whether the gang is past its start, or over."""
+        """Return whether the gang has started or ended."""
         return self._chart.state in ("running", "ended")
 
     @property
     def running(self) -> bool:
-        """Tell whether all members are taken to run."""
+        """Return whether the gang counts as running."""
         return self._chart.state == "running"
 
     async def start(self) -> None:
-        """Claim the job, reserve on all workers, start all, and see it through."""
+        """Claim the job, reserve and start all members, and watch them to the end."""
         if not await self._claim():
             self._release()
             return
@@ -55,14 +55,14 @@
         await self._watch()
 
     async def undo_claim(self) -> None:
-        """Queue a job again whose claim was written, though its answer was lost."""
+        """Queue a job again whose claim was written while the answer was lost."""
         await self._requeue("the answer to the claim was lost")
 
     async def adopt(self) -> None:
-        """See a gang through that a former leader started.
+        """Watch a gang to its end that a former leader started.
 
-        Writes the own epoch into the job first: an outcome that the former
-        leader still has on its way would else land beside this one's.
+        First write this leader's epoch into the job. An outcome that the former
+        leader has in flight could otherwise be written as well as this one's.
         """
         self._chart.fire("adopt")
         self._ran, self._lease_s = True, self._times.task_ttl_s
@@ -79,15 +79,15 @@
         await self._watch()
 
     async def _claim(self) -> bool:
-        """Write the attempt down before anything starts.
+        """Write the attempt to the store before anything starts.
 
-        Without it a leader that dies in mid-start leaves no trace, and its
-        successor would run a job a second time that must run once.
+        Otherwise a leader that dies during the start leaves no trace, and its
+        successor would run a job twice that must run once.
         """
         members = self._members
         if self._leadership.isolated:
             record = self._gang.record
-            # Under a new attempt, as workers still know the names of the last.
+            # A new attempt, because workers still know the task names of the last.
             self._gang.record = msgspec.structs.replace(
                 record, attempt=record.attempt + 1, members=members
             )
@@ -102,11 +102,11 @@
         return True
 
     async def _confirm_all(self) -> bool:
-        """Give the long leases, now that the whole gang runs.
+        """Give the members long leases, now that all of them run.
 
-        Until then each member has only the short lease of its start: should
-        this leader die here, the members that did start end by themselves
-        within seconds instead of running on as part of a gang.
+        Until then each member has only the short lease of its start. If this
+        leader dies, members that did start end by themselves within seconds
+        instead of running on as part of an incomplete gang.
         """
         self._lease_s = self._times.start_ttl_s + self._times.task_ttl_s
         by_worker: dict[str, list[Member]] = {}
@@ -144,7 +144,7 @@
             self.inbox.put_nowait(StopGang("cancelled"))
 
     async def _watch(self) -> None:
-        """Wait until all members are done, or one reason ends them all."""
+        """Wait until all members are done, or until a message ends the gang."""
         awaited = {self._name_task(m) for m in self._members}
         while awaited:
             message = await self.inbox.get()
@@ -153,8 +153,8 @@
                     continue
                 if message.status.state == "done":
                     awaited.discard(message.status.task)
-                    # Free for others at once: writing the outcome may have to
-                    # wait for the store to come back.
+                    # Free the accelerators at once: writing the outcome may have
+                    # to wait until the store is available again.
                     self._gang.members = tuple(
                         m for m in self._members if self._name_task(m) in awaited
                     )
@@ -190,7 +190,7 @@
             await self._finish("failed", "evicted, and must not run twice")
 
     async def _abort(self) -> None:
-        """Undo a start that did not come about whole."""
+        """Stop all members of a gang that did not start completely."""
         await self._stop_all(graceful=False)
         self._record(Event.GANG_ABORTED)
         if self._ran:
@@ -239,9 +239,9 @@
         self._release()
 
     def _may_write(self) -> bool:
-        # A job whose members this leader could not end or outwait, because it
-        # lost its term over it, is its successor's to judge. That the term is
-        # not over elsewhere, each write lets the store compare.
+        # A leader that lost its term before all members had ended or expired
+        # leaves the job to its successor. This sees only the local state; each
+        # write also lets the store check that the term goes on.
         return self._leadership.is_current_term(self._epoch)
 
     def _release(self) -> None:
--- a/src/firladder/_internal/scheduler/leadership.py
+++ b/src/firladder/_internal/scheduler/leadership.py
@@ -1,7 +1,7 @@
-"""Lead a failure domain by a lease in the store, under a rising epoch.
+"""Election of a failure domain's leader by a lease in the store.
 
-The epoch is the store's revision at which the leader's key was created, so a
-later leader's is always higher; workers obey the highest they have seen.
+The epoch of a leader is the store's revision at which its key was created, so a
+later leader's is always higher. Workers obey the highest epoch they have seen.
 """
 
 import asyncio
@@ -25,8 +25,8 @@
 PREFIX = "leaders/"
 
 LEASE_MARGIN_SHARE = 0.1
-"""Part of the lease that is not used, for clocks that run at different speeds
-and for the time a command is on its way."""
+"""Share of the lease that is left unused, to allow for clocks that run at different
+speeds and for commands in flight."""
 
 
 class LeaderRecord(msgspec.Struct, frozen=True):
@@ -39,7 +39,7 @@
 
 
 class Leadership:
-    """This scheduler's part in the election of its failure domain."""
+    """Candidacy and leadership of this scheduler in its failure domain."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         timeline: Timeline,
         list_peers: Callable[[], list[Heartbeat]] = list,
     ) -> None:
-        """Stand for election with leases of ``ttl_s`` seconds.
+        """Prepare to stand for election with leases of ``ttl_s`` seconds.
 
         ``list_peers`` returns the other live schedulers of the failure domain.
         """
@@ -81,39 +81,39 @@
 
     @property
     def isolated(self) -> bool:
-        """Tell whether this process leads without the store."""
+        """Return whether this process leads without the store."""
         return self._chart.state == "isolated"
 
     @property
     def elected_epoch(self) -> int:
-        """Return the epoch of the present term of office, or 0 without one."""
+        """Return the epoch of the current term, or 0 without one."""
         return 0 if self._chart.state in ("following", "stopped") else self.epoch
 
     def is_current_term(self, epoch: int) -> bool:
-        """Tell whether the term of this epoch goes on, as far as is known here.
+        """Return whether the term of this epoch is still the current one here.
 
-        Other than ``may_act`` it stays true while a renewal is late. Giving work
-        up at that moment would leave it undone for the rest of the term.
+        Unlike ``may_act`` this stays true while a renewal is late. Work that was
+        given up at that moment would not be resumed for the rest of the term.
         """
         return self.elected_epoch == epoch
 
     @property
     def isolated_start_delay_s(self) -> float:
-        """Return how long an isolated leader starts nothing, in seconds.
+        """Return for how many seconds an isolated leader starts no gang.
 
-        A peer whose own calls hang tells of a store that it lost only when a
-        call has timed out; until then nobody knows whether a successor rises.
+        A peer reports that it cannot reach the store only after a call has timed
+        out; until then a successor may be elected.
         """
         return self._ttl_s + CALL_TIMEOUT_S
 
     def may_act(self, epoch: int | None = None) -> bool:
-        """Tell, at this very moment, whether a command may be sent.
+        """Return whether a command may be sent at this moment.
 
-        A process that was paused past its lease wakes in the middle of its
-        code and would go on commanding workers beside its successor; asking
-        the clock before every act stops it before the first command. With
-        ``epoch``, work that was begun in an earlier term is refused too: it
-        would else command under the epoch of the next.
+        A process that was paused beyond its lease resumes in the middle of its
+        code and would go on commanding workers beside its successor. Checking
+        the clock before every command prevents that. With ``epoch``, work begun
+        in an earlier term is refused too; it would otherwise send commands under
+        the epoch of a later term.
         """
         if epoch is not None and epoch != self.epoch:
             return False
@@ -121,10 +121,10 @@
         return leading and self._clock.read_monotonic() < self._valid_until
 
     def may_start(self, epoch: int | None = None) -> bool:
-        """Tell whether new gangs may be started.
+        """Return whether new gangs may be started.
 
-        An isolated leader waits until its peers have had time to say whether
-        they reach the store: if one does, a successor is about to place too.
+        An isolated leader waits until its peers have had time to report whether
+        they reach the store: if one does, a successor will soon place gangs too.
         """
         if not self.may_act(epoch):
             return False
@@ -132,7 +132,7 @@
         return not self.isolated or isolated_s >= self.isolated_start_delay_s
 
     async def run(self) -> None:
-        """Stand, renew and step down until stopped."""
+        """Stand for election, or renew the lease while elected, until stopped."""
         while self._chart.state != "stopped":
             if self._chart.state == "following":
                 await self._campaign()
@@ -164,8 +164,8 @@
         if epoch is None:
             return
         if self._chart.state != "following":
-            # Told to stop while the answer was on its way: the key would keep
-            # every other candidate out for a whole lease.
+            # Stopped while the answer was in flight. The key would block every
+            # other candidate until the lease expires.
             await self._store.revoke_lease(lease)
             return
         self._lease, self.epoch = lease, epoch
@@ -181,8 +181,8 @@
             return result.revision
         if isinstance(result, StoreConflict | StoreUnavailable):
             return None
-        # The key may have been created although the answer was lost. Not
-        # looking would leave the failure domain without a leader for a lease.
+        # The key may have been created although the answer was lost. Without
+        # this read the failure domain would have no leader until it expires.
         entry = await self._store.get(self.key)
         if entry is None or isinstance(entry, StoreUnavailable | StoreUncertain):
             return None
@@ -190,8 +190,8 @@
         return entry.mod_revision if found.write_id == record.write_id else None
 
     def _extend_lease(self, sent_at: float, ttl_s: float) -> None:
-        # The lease counts in the store from when the call arrived there, which
-        # is never before it was sent.
+        # In the store the lease starts when the call arrives, never before it
+        # was sent.
         self._valid_until = sent_at + ttl_s * (1 - LEASE_MARGIN_SHARE)
 
     async def _renew(self) -> None:
@@ -200,7 +200,7 @@
         lease = self._lease
         result = await self._store.renew_lease(lease, timeout_s=self._ttl_s / 3)
         if self._lease is not lease:
-            # Stopped, or stepped down, while the answer was on its way.
+            # Stopped, or stepped down, while the answer was in flight.
             return
         if isinstance(result, Lease):
             self._extend_lease(sent_at, result.ttl_s)
@@ -213,10 +213,10 @@
         self._lead_without_store(sent_at)
 
     def _lead_without_store(self, sent_at: float) -> None:
-        """Lead on without the store, unless a peer can lead with it.
+        """Go on leading during an outage, unless a peer can lead with the store.
 
-        Stopping with the store would end every running gang of the failure
-        domain; going on while a peer is elected would have two place at once.
+        Stepping down would end every running gang of the failure domain; going
+        on although a peer is elected would let two leaders place at once.
         """
         peers = self._list_peers()
         if any(p.leading > self.epoch for p in peers):
@@ -233,12 +233,13 @@
         ):
             self.step_down("a peer still reaches the store")
             return
-        # Granted by itself, and only from the last try on: a pause longer than
-        # a lease still ends it, and the next try hears of a successor first.
+        # The leader extends its own lease, counted from its last attempt to renew
+        # it: after a pause longer than a lease it may not act, and its next attempt
+        # checks for a successor first.
         self._valid_until = sent_at + self._ttl_s
 
     def finish_claiming(self) -> None:
-        """Note that every reachable worker obeys this epoch."""
+        """Enter "leading", now that every reachable worker obeys this epoch."""
         self._chart.fire("claimed")
 
     def step_down(self, reason: str) -> None:
@@ -257,7 +258,7 @@
         self.changed.set()
 
     async def resign(self) -> None:
-        """Give the lease up, so that a successor need not wait for its end."""
+        """Revoke the lease, so that a successor need not wait until it expires."""
         lease, self._lease = self._lease, None
         self._valid_until = 0.0
         self._chart.fire("stop")
--- a/src/firladder/_internal/scheduler/members.py
+++ b/src/firladder/_internal/scheduler/members.py
@@ -18,18 +18,18 @@
 from .recovery import name_task
 
 EXPIRY_MARGIN_S = 0.5
-"""Added to a lease before its end is taken for granted."""
+"""Added to a lease before it counts as expired."""
 
 STOP_RETRY_S = 0.2
 
 AVOID_S = 60.0
-"""Seconds for which a job keeps off a worker on which a member of it failed. A
-worker at fault is in quarantine by then. For ever would be too long: on a site
-of two workers a gang that needs both would wait without end after one failure."""
+"""How long a job avoids a worker on which one of its members failed. A faulty worker
+is in quarantine by then. Without an end, a gang that needs both workers of a site of
+two would wait for ever after one failure."""
 
 
 class GangMembers:
-    """Commands the members of a gang, each under the leader's epoch."""
+    """Sends commands to the members of a gang, under the leader's epoch."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         timeline: Timeline,
         on_worker_failure: Callable[[str, str], None],
     ) -> None:
-        """Prepare for one term of office; ``start`` or ``adopt`` does the rest."""
+        """Prepare for one term; ``start`` or ``adopt`` of the subclass runs it."""
         self._gang = gang
         self._members = gang.members
         self._accounting = accounting
@@ -150,7 +150,7 @@
         return name_task(member, self._gang.record.attempt)
 
     def _record_failure(self, worker: str) -> None:
-        """Count a failure against the worker, and try the job elsewhere."""
+        """Record a failure of the worker, and let the job avoid it for a while."""
         self._on_worker_failure(worker, self._job)
         avoid = self._accounting.avoid
         avoid[self._job] = avoid.get(self._job, frozenset()) | {worker}
@@ -161,12 +161,12 @@
         avoid[self._job] = avoid.get(self._job, frozenset()) - {worker}
 
     def _has_expired(self, worker: str) -> bool:
-        """Tell whether a task lease on a worker out of reach has surely ended."""
+        """Return whether a task lease on an unreachable worker has surely expired."""
         state = self._accounting.workers.get(worker)
         last_command_at = self._last_command_at
         if state is not None:
             if state.claimed:
-                # Within reach, so its tasks are renewed and must be stopped.
+                # Reachable, so its leases are renewed and its tasks must be stopped.
                 return False
             last_command_at = max(last_command_at, state.renewed_at)
         return self._clock.read_monotonic() >= (
@@ -174,10 +174,11 @@
         )
 
     async def _stop_all(self, *, graceful: bool) -> None:
-        """End every member, or wait until its lease has lapsed.
+        """End every member, or wait until its lease has expired.
 
-        By force once the polite time is over. Returning earlier would let the
-        job start again beside a member that a cut-off worker still runs.
+        A graceful stop turns into one by force after ``stop_grace_s``. Returning
+        earlier would let the job start again beside a member that still runs on
+        a partitioned worker.
         """
         self._chart.fire("stop")
         self._gang.stopping = True
@@ -193,7 +194,7 @@
             )
             ended = await asyncio.gather(*(self._stop(m, mode) for m in left))
             left = [m for m, gone in zip(left, ended, strict=True) if not gone]
-            # What has ended is free for others while the rest lapses.
+            # Free what the ended members held while waiting for the others.
             self._gang.members = tuple(left)
             if left:
                 await asyncio.sleep(STOP_RETRY_S)
@@ -217,7 +218,7 @@
                 self._address(m), self._name_task(m), StopTask(self._epoch, mode)
             ),
         )
-        # A stop does not lengthen a lease.
+        # A stop does not extend a lease.
         self._last_command_at = last_command_at
         if isinstance(result, TaskStatus):
             return result.state in ENDED
--- a/src/firladder/_internal/scheduler/worker_follower.py
+++ b/src/firladder/_internal/scheduler/worker_follower.py
@@ -1,4 +1,4 @@
-"""Claim the workers of a failure domain, hear of their changes, renew their leases."""
+"""Claim the workers of a failure domain, poll their changes, renew their leases."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,17 +24,17 @@
 from .recovery import name_task
 
 RENEW_POLL_S = 0.25
-"""Seconds until a worker that may not be renewed yet is looked at again."""
+"""Pause before checking again whether a worker's leases may be renewed."""
 
 LONG_POLL_S = 5.0
-"""Seconds a worker may hold a question for changes."""
+"""How long a worker may delay its answer to a poll that has no changes yet."""
 
 LOST_LEASE_SHARE = 0.5
-"""Part of a task lease after which a silent worker counts as lost."""
+"""Share of a task lease after which a worker that does not answer counts as lost."""
 
 
 class WorkerFollower:
-    """What a leader knows of its workers, and how it learns it."""
+    """Keep a leader's account of its workers up to date in one term."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         clock: Clock,
         timeline: Timeline,
     ) -> None:
-        """Prepare a term; ``run`` serves it."""
+        """Prepare a term; ``run`` of the subclass leads in it."""
         self._leadership = leadership
         self._epoch = leadership.epoch
         self._ledger = ledger
@@ -70,7 +70,10 @@
         self.placing = True
 
     async def _claim(self, state: WorkerState) -> bool:
-        """Fence former leaders off one worker and learn what runs there."""
+        """Fence former leaders off a worker and read what runs there.
+
+        Return whether the worker now obeys this epoch.
+        """
         if not self._leadership.may_act(self._epoch):
             return False
         report = await self._workers.claim(state.machine.address, self._epoch)
@@ -87,11 +90,11 @@
         return True
 
     async def _admit(self, state: WorkerState) -> None:
-        """End the strays of a claimed worker, then renew and use it.
+        """End the orphan tasks of a claimed worker, then put it to use.
 
-        A member that its worker ran on while cut off belongs to a gang that
-        was ended meanwhile. Renewing first would keep that member running, as
-        a worker's leases are renewed together.
+        While partitioned, a worker goes on running members of gangs that were
+        ended meanwhile. All leases of a worker are renewed together, so that a
+        renewal before this would keep those members running.
         """
         orphans = [t for t in state.list_held() if not self._is_member(t)]
         ended = await asyncio.gather(*(self._stop_orphan(state, t) for t in orphans))
@@ -117,7 +120,7 @@
         return isinstance(result, TaskStatus) and result.state in ENDED
 
     def _check_members(self, state: WorkerState) -> None:
-        """Tell running gangs what a claimed worker knows of their members."""
+        """Notify running gangs of members that have ended or that the worker lost."""
         name = state.machine.name
         for job, gang in self.accounting.gangs.items():
             runner = self._runners.get(job)
@@ -160,7 +163,7 @@
             self._tasks.spawn(self._renew(name), name=f"renew-{name}")
 
     async def _follow(self, name: str) -> None:
-        """Hear of a worker's changes, and claim it again after a silence."""
+        """Poll a worker for changes, and claim it again after it was lost."""
         while (state := self.accounting.workers.get(name)) is not None:
             if not state.claimed:
                 if await self._claim(state):
@@ -186,8 +189,8 @@
             return
         state = self.accounting.workers[name]
         if report.epoch < self._epoch or report.sequence < state.sequence:
-            # The worker was replaced and knows neither its tasks nor whom to
-            # obey; its changes would be missed, as their numbers begin anew.
+            # The worker was replaced: it knows neither its tasks nor its epoch,
+            # and as its sequence numbers restart, changes would be missed.
             state.claimed = False
             return
         self.accounting.apply_report(name, report, self._clock.read_monotonic())
@@ -220,13 +223,13 @@
                 await asyncio.sleep(RENEW_POLL_S)
                 continue
             if not state.list_held():
-                # Nothing to renew. A confirmed task is in the worker's next
-                # report, long before the lease that came with its confirmation
-                # ends; that the worker is alive, the question for changes tells.
+                # Nothing to renew. A newly confirmed task appears in the worker's
+                # next report, long before the lease given with its confirmation
+                # expires. Whether the worker is alive, the poll for changes tells.
                 await asyncio.sleep(self._times.task_ttl_s / 4)
                 continue
-            # At once on the first turn: a takeover has used up much of the
-            # leases that the former leader gave.
+            # Without a pause before the first renewal: a takeover uses up much
+            # of the leases that the former leader gave.
             sent_at = self._clock.read_monotonic()
             report = await self._workers.renew(
                 state.machine.address,
@@ -237,9 +240,9 @@
             if isinstance(report, TaskReport):
                 state.heard_at = self._clock.read_monotonic()
             else:
-                # Sooner than the long question for changes, which may be held
-                # for seconds by a worker that is cut off.
+                # Notices a loss sooner than the poll for changes, which takes
+                # seconds to fail while the worker is partitioned.
                 self._check_silence(state)
-            # Whether or not the answer came back, the leases may count from now.
+            # Even without an answer, the worker may have renewed the leases.
             state.renewed_at = sent_at
             await asyncio.sleep(self._times.task_ttl_s / 4)
