--- a/src/firladder/_internal/models/__init__.py
+++ b/src/firladder/_internal/models/__init__.py
@@ -1,1 +1,1 @@
-"""Plain data: validated at the border, passed around inside."""
+"""Plain data types, validated where they enter the process."""
--- a/src/firladder/_internal/models/api.py
+++ b/src/firladder/_internal/models/api.py
@@ -1,4 +1,4 @@
-"""Bodies of the HTTP interface that have no other home."""
+"""Bodies of the HTTP interface that belong to no other model."""
 
 from typing import Annotated, Literal
 
@@ -18,19 +18,19 @@
 
 
 class Tickets(msgspec.Struct, frozen=True):
-    """Ids that one start of one gateway alone may run."""
+    """Request ids that only the gateway that issued them may run, until it restarts."""
 
     ids: tuple[str, ...]
 
 
 class JobList(msgspec.Struct, frozen=True):
-    """Jobs found, at one revision of the store."""
+    """Jobs as of one revision of the store."""
 
     jobs: tuple[JobRecord, ...]
 
 
 class Accepted(msgspec.Struct, frozen=True, kw_only=True):
-    """A change of the configuration that the store has, or would accept.
+    """A change of the configuration that the store accepted, or would accept.
 
     ``actions`` says of each changed part whether it is added, replaced,
     removed or stays as it was.
@@ -43,7 +43,7 @@
 
 
 class ProcessStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One process as this gateway last heard of it."""
+    """A process according to the last heartbeat that this gateway has of it."""
 
     vm: str
     role: str
@@ -58,7 +58,7 @@
     """A failure domain as this gateway sees it.
 
     ``in_force`` is the lowest revision among its live processes, or the lowest
-    last heard of; ``cut_off`` says that nobody there answers this gateway.
+    last heard of; ``cut_off`` is true if no process there answers this gateway.
     """
 
     failure_domain: Name
@@ -78,7 +78,7 @@
 
 
 class FleetStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The fleet as this gateway sees it, with what it cannot see said so."""
+    """The fleet as this gateway sees it; what it cannot reach is marked as such."""
 
     revision: int
     in_force_everywhere: bool
--- a/src/firladder/_internal/models/configuration.py
+++ b/src/firladder/_internal/models/configuration.py
@@ -15,21 +15,21 @@
 Kind = Literal["organisation", "rule", "labels"]
 
 MAX_CHANGES = 120
-"""Changes made together. The store takes 128 operations in a transaction unless
-told otherwise, and the head is one of them."""
+"""Changes in one set. By default the store allows 128 operations in a transaction,
+and the head is one of them."""
 
 MAX_RECENT_WRITE_IDS = 64
-"""Write ids kept in the head, about half an hour of an ordinary day's changes;
-a writer whose answer was lost looks for its own within seconds."""
+"""Write ids kept in the head: those of about half an hour on an ordinary day. A
+writer whose answer was lost searches them for its own id within seconds."""
 
 URGENCIES: tuple[Urgency, ...] = ("urgent", "normal", "overnight")
 
 
 class Cell(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Part of a guaranteed shape: so many gangs of adjacent accelerators.
+    """Part of a guaranteed shape: ``count`` groups of adjacent accelerators.
 
-    ``accelerators`` up to a worker's size lie on one worker; larger cells take
-    whole workers of one rack.
+    A cell of up to a worker's accelerators lies on one worker; a larger one takes
+    entire workers of one rack.
     """
 
     failure_domain: Name
@@ -38,7 +38,7 @@
 
 
 class Organisation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A customer of the operators, with the shape that is always its own."""
+    """A customer of the operators, with the shape that is guaranteed to it."""
 
     shape: tuple[Cell, ...] = ()
     weight: Annotated[int, Meta(ge=1, le=1000)] = 1
@@ -48,7 +48,8 @@
 class Rule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Steer the work whose labels match ``selects``.
 
-    Among matching rules the one of the lowest ``order`` wins, then the name.
+    Of several matching rules the one with the lowest ``order`` applies, then the
+    first by name.
     """
 
     selects: SelectorText
@@ -74,7 +75,7 @@
 
 
 class ChangeSet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Changes that take hold together, on top of the revision the operator saw."""
+    """Changes that take effect together if ``expected_revision`` is still current."""
 
     expected_revision: Annotated[int, Meta(ge=0)]
     changes: Annotated[tuple[Change, ...], Meta(min_length=1, max_length=MAX_CHANGES)]
@@ -82,7 +83,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """The whole configuration at one revision; never altered in place."""
+    """The complete configuration at one revision; never changed in place."""
 
     revision: int = 0
     organisations: dict[str, Organisation] = {}
@@ -91,10 +92,10 @@
 
 
 class ConfigurationHead(msgspec.Struct, frozen=True):
-    """The value that orders all changes: who wrote which revision.
+    """The record that each change rewrites, so that changes are totally ordered.
 
     ``recent`` holds the write ids before ``write_id``, the latest first;
-    ``clock`` is the writer's Lamport time at the acceptance.
+    ``clock`` is the writer's Lamport time when it accepted the change.
     """
 
     revision: int
@@ -103,15 +104,15 @@
     clock: int = 0
 
     def holds(self, write_id: str) -> bool:
-        """Tell whether this write took effect, lately or last of all."""
+        """Return whether this write took effect as the last or a recent one."""
         return write_id == self.write_id or write_id in self.recent
 
     def follow(
         self, *, revision: int, write_id: str, clock: int
     ) -> "ConfigurationHead":
         """Return the head that the next change writes."""
-        # With the last id alone, a writer whose answer was lost would find the
-        # next operator's id and report its own accepted change as refused.
+        # With only the last id, a writer whose answer was lost would find the id
+        # of a later change and report its own accepted change as refused.
         recent = (
             (self.write_id, *self.recent)[:MAX_RECENT_WRITE_IDS]
             if self.write_id
--- a/src/firladder/_internal/models/entry.py
+++ b/src/firladder/_internal/models/entry.py
@@ -13,7 +13,7 @@
 
     @property
     def deleted(self) -> bool:
-        """Tell whether the key is gone."""
+        """Return whether the key was deleted."""
         return self.mod_revision == 0
 
 
@@ -25,14 +25,14 @@
 
 
 class Compare(msgspec.Struct, frozen=True):
-    """Hold only if the key was last changed at ``mod_revision`` (0: absent)."""
+    """Require that the key was last changed at ``mod_revision`` (0: is absent)."""
 
     key: str
     mod_revision: int
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Set a key, bound to a lease unless that is 0."""
+    """Set a key, bound to ``lease`` unless that is 0."""
 
     key: str
     value: bytes
@@ -52,7 +52,7 @@
 
 
 class Lease(msgspec.Struct, frozen=True):
-    """A lease of the store; ``ttl_s`` is what the store granted."""
+    """A lease of the store; ``ttl_s`` is the lifetime that the store granted."""
 
     id: int
     ttl_s: float
--- a/src/firladder/_internal/models/job.py
+++ b/src/firladder/_internal/models/job.py
@@ -1,4 +1,4 @@
-"""A job: a gang of tasks that runs whole or not at all."""
+"""A job: a gang of tasks that run together or not at all."""
 
 from typing import Annotated, Literal
 
@@ -17,8 +17,9 @@
 class JobSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What a caller submits.
 
-    Sizes and ``run_time_s`` are declared by the caller and may be far off.
-    ``adjacency`` says within what the members must lie together.
+    Sizes and ``run_time_s`` are the caller's estimates and may be far off. All
+    members must lie on one worker, in one rack or in one failure domain, as
+    ``adjacency`` says.
     """
 
     id: Identifier
@@ -39,7 +40,7 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One task of a gang and the worker and accelerators it holds."""
+    """One task of a gang, with its worker and the accelerators it holds there."""
 
     task: str
     worker: str
@@ -49,9 +50,9 @@
 class JobRecord(msgspec.Struct, frozen=True, kw_only=True):
     """The job as the platform's store keeps it.
 
-    ``epoch`` is the leader's that wrote it last; ``attempt`` counts starts,
-    including those that a lost answer left in doubt. ``cell`` names the guaranteed
-    cell that the gang runs in, so that a new leader does not lend it out.
+    ``epoch`` is that of the leader that wrote it last. ``attempt`` counts starts,
+    including those whose answer was lost. ``cell`` names the guaranteed cell that
+    the gang runs in, so that a new leader does not lend it to others.
     ``clock`` is the Lamport time of the last write.
     """
 
--- a/src/firladder/_internal/models/machine.py
+++ b/src/firladder/_internal/models/machine.py
@@ -1,4 +1,4 @@
-"""What the platform's VM list says of workers, targets and entry VMs."""
+"""Workers, targets and entry VMs as the platform's VM list describes them."""
 
 from typing import Literal
 
@@ -9,7 +9,7 @@
 
 
 class Machine(msgspec.Struct, frozen=True, kw_only=True):
-    """One row of the platform's lagging VM list. Sizes are of the whole VM."""
+    """One row of the platform's VM list, which lags; sizes are those of the whole VM."""
 
     name: str
     role: Role
--- a/src/firladder/_internal/models/message.py
+++ b/src/firladder/_internal/models/message.py
@@ -1,8 +1,7 @@
 """Messages between the product's own processes.
 
-``Envelope`` carries the sender's incarnation and logical clock with each body,
-so that the time line can put the events of all processes in an order that
-respects cause and effect.
+``Envelope`` carries the sender's incarnation and logical clock with each body, so
+that the events of all processes can be put in causal order on the timeline.
 """
 
 from typing import Literal
@@ -16,7 +15,7 @@
 
 
 class Identity(msgspec.Struct, frozen=True, array_like=True):
-    """Who a process is. ``incarnation`` is new with every start."""
+    """Identity of a process; each start has an ``incarnation`` of its own."""
 
     vm: str
     role: DaemonRole
@@ -31,13 +30,13 @@
 ):
     """Base of all message bodies.
 
-    Sent as arrays: names of fields were more than half of a heartbeat's bytes.
-    New fields go to the end, with a default, so that old processes still read.
+    Encoded as arrays: field names would be more than half of a heartbeat's bytes.
+    Append new fields with a default, so that older processes can read them.
     """
 
 
 class Heartbeat(Body, frozen=True, kw_only=True, tag="heartbeat"):
-    """Say that a process lives, what it has in force and what it demands.
+    """Announce that a process is alive, its configuration and its demand.
 
     ``demand`` maps a service to the requests queued and in flight there;
     ``leading`` is the epoch if the sender leads its failure domain, else 0.
@@ -54,7 +53,7 @@
 
 
 class HeartbeatAck(Body, frozen=True, kw_only=True, tag="heartbeat_ack"):
-    """Answer a heartbeat with one's own."""
+    """Answer a heartbeat with the receiver's own."""
 
     heartbeat: Heartbeat
 
@@ -66,7 +65,7 @@
 
 
 class ConfigurationReply(Body, frozen=True, kw_only=True, tag="configuration_reply"):
-    """The configuration, or nothing if the asker's is as new."""
+    """The configuration, or None if the one of the asking peer is as new."""
 
     configuration: Configuration | None = None
 
@@ -76,18 +75,18 @@
 
 
 class ClockReply(Body, frozen=True, kw_only=True, tag="clock_reply"):
-    """The monotonic seconds of the process that answers."""
+    """The monotonic clock of the process that answers, in seconds."""
 
     now_s: float
 
 
 class RelayRequest(Body, frozen=True, kw_only=True, tag="relay_request"):
-    """Pass a request to the gateway that alone may run its id.
+    """Relay a request to the only gateway that may run its id.
 
-    ``request`` is a ``ServiceRequest`` in JSON: its body is a caller's own JSON
-    and would break a MessagePack message. It must not be run for this message
-    after ``expires_at`` on the receiver's own monotonic clock: held up in a
-    cut, the message may arrive when its caller has long been answered.
+    ``request`` is a ``ServiceRequest`` in JSON: its body is the caller's JSON and
+    would break a MessagePack message. The receiver must not run it after
+    ``expires_at`` on its own monotonic clock: delayed by a partition, the message
+    may arrive long after the caller was answered.
     """
 
     service: str
@@ -135,10 +134,11 @@
 
 
 class GreetNode(Body, frozen=True, kw_only=True, tag="greet_node"):
-    """Tell a node who asks, which leader it knows and what configuration it has.
+    """Ask a node for its view, and announce the sender's own.
 
-    ``leader_token`` is the fencing token of the leader known, 0 for none. The last two
-    say how well the VM can lead: its link, and for how long it lets others go first.
+    ``leader_token`` is the fencing token of the known leader, or 0. The last two
+    fields say how well the VM can lead: the speed of its link, and the delay before
+    it stands for election, which gives others precedence.
     """
 
     ip: str
@@ -152,7 +152,7 @@
 
 
 class NodeView(Body, frozen=True, kw_only=True, tag="node_view"):
-    """What a node knows."""
+    """A node's view of the fleet, in answer to ``GreetNode``."""
 
     peers: tuple[str, ...] = ()
     leader_ip: str = ""
@@ -165,45 +165,45 @@
 class AdvertiseConfiguration(
     Body, frozen=True, kw_only=True, tag="advertise_configuration"
 ):
-    """Tell that the node at ``ip`` has adopted ``version``; who is behind asks it."""
+    """Announce that the node at ``ip`` has ``version``; older nodes then fetch it."""
 
     ip: str
     version: int
 
 
 class FetchQueues(Body, frozen=True, kw_only=True, tag="fetch_queues"):
-    """Ask a node for its queues and keys if their version is above ``newer_than``."""
+    """Ask a node for its queues and keys if their version exceeds ``newer_than``."""
 
     newer_than: int
 
 
 class QueuesReply(Body, frozen=True, kw_only=True, tag="queues_reply"):
-    """The configuration as the store holds it, packed; empty if it is not newer."""
+    """The configuration as stored, packed; empty if it is not newer."""
 
     packed: bytes = b""
 
 
 class AnnounceJob(Body, frozen=True, kw_only=True, tag="announce_job"):
-    """Tell the leader of a job that is stored: its record."""
+    """Send the leader the record of a job that has been stored."""
 
     record: bytes
 
 
 class AnnounceCancel(Body, frozen=True, kw_only=True, tag="announce_cancel"):
-    """Tell the leader of a cancellation that is stored."""
+    """Notify the leader of a cancellation that has been stored."""
 
     job_id: str
 
 
 class StoreRecord(Body, frozen=True, kw_only=True, tag="store_record"):
-    """Ask a node to store a value under a key unless there is one already."""
+    """Ask a node to store a value under a key unless the key exists."""
 
     key: str
     value: bytes
 
 
 class StoreOutcome(Body, frozen=True, kw_only=True, tag="store_outcome"):
-    """What became of it: ``stored``, ``exists``, ``not_stored`` or ``unknown``."""
+    """The result of a ``StoreRecord``; ``unknown`` if it may have been stored."""
 
     outcome: Literal["stored", "exists", "not_stored", "unknown"]
 
@@ -215,7 +215,7 @@
 
 
 class AskPending(Body, frozen=True, kw_only=True, tag="ask_pending"):
-    """Ask the leader how many jobs of a queue have not begun."""
+    """Ask the leader for the number of jobs of a queue that have not begun."""
 
     queue: str
 
@@ -233,7 +233,7 @@
 
 
 class Received(Body, frozen=True, kw_only=True, tag="received"):
-    """The message was taken in."""
+    """Acknowledge a message that needs no other answer."""
 
 
 AnyBody = (
@@ -266,7 +266,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """One message on the wire. ``correlation`` matches a reply to its question."""
+    """One message on the wire; ``correlation`` matches a reply to its request."""
 
     sender: str
     clock: int
--- a/src/firladder/_internal/models/order.py
+++ b/src/firladder/_internal/models/order.py
@@ -1,13 +1,16 @@
-"""Orders to workers, and what workers report."""
+"""Orders to workers, and reports from workers."""
 
 import dataclasses
 from typing import Literal
 
 Ending = Literal["done", "failed", "stopped", "lapsed", "broken", "alone"]
+"""How a run ended. ``lapsed``: its lease expired; ``broken``: another member of its
+gang ended without being done; ``alone``: the rest of its gang did not start."""
 
 Rejection = Literal["fenced", "superseded", "too_late", "no_room", "ticket", "other"]
-"""Why a worker did not begin a task: a higher fencing token is known there, the
-run number was given up, the deadline had passed, or it lacks room."""
+"""Why a worker did not begin a task. ``fenced``: it knows a higher fencing token;
+``superseded``: the run number was given up; ``too_late``: the deadline had passed;
+``no_room``: it lacks free capacity."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -22,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningTask:
-    """A task at work: its newest checkpoint and its progress in per cent."""
+    """A running task, with its latest checkpoint and its progress in percent."""
 
     task: TaskId
     run: int
@@ -32,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedTask:
-    """The end of a run. ``number`` counts the ends of one incarnation."""
+    """The end of a run; ``number`` counts the ends on one incarnation of a worker."""
 
     number: int
     task: TaskId
@@ -43,9 +46,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """All that runs on a worker, and the ends not yet acknowledged to it.
+    """The running tasks of a worker, and the ends not yet acknowledged to it.
 
-    ``clock_s`` is the worker's own steady clock.
+    ``clock_s`` is the worker's monotonic clock.
     """
 
     clock_s: float
@@ -55,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartOrder:
-    """Begin ``task`` under ``run`` on a worker."""
+    """Order to start ``task`` as run number ``run`` on a worker."""
 
     worker_id: str
     address: str
@@ -67,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopOrder:
-    """End ``task`` up to and including ``run`` on a worker."""
+    """Order to stop all runs of ``task`` up to and including ``run`` on a worker."""
 
     worker_id: str
     address: str
--- a/src/firladder/_internal/models/request.py
+++ b/src/firladder/_internal/models/request.py
@@ -1,4 +1,4 @@
-"""A caller's request to a service, and what became of it."""
+"""A caller's request to a service, and its result."""
 
 from typing import Annotated, Literal
 
@@ -21,8 +21,8 @@
 
     ``deadline_ms`` counts from the arrival at the gateway. A request that is
     not ``idempotent`` needs an ``id``, under which it runs at most once.
-    ``attempt`` 1 vouches that the id was never sent anywhere before; a refusal
-    can then say "not run" even while the store cannot be asked.
+    ``attempt`` 1 asserts that the id was never sent before, so that a refusal can
+    say "not run" even during an outage of the store.
     """
 
     organisation: Name
@@ -38,9 +38,9 @@
 class RequestResult(msgspec.Struct, frozen=True, kw_only=True):
     """The final answer to a request.
 
-    ``done`` carries the target's whole body; ``not_run`` is said only when
-    nothing of the request ran; ``unknown`` means that it may have run, and
-    that it will not run again under this id.
+    ``done`` carries the complete body of the target's answer. ``not_run`` is
+    returned only if the request certainly did not run. ``unknown`` means that it
+    may have run, and will not run again under this id.
     """
 
     id: str
--- a/src/firladder/_internal/models/task.py
+++ b/src/firladder/_internal/models/task.py
@@ -1,4 +1,4 @@
-"""The workers' side of a gang: messages of the platform's task interface."""
+"""Messages of the platform's interface for the tasks of gangs on workers."""
 
 from typing import Literal
 
@@ -11,7 +11,7 @@
 
 
 class ReserveTask(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold accelerators for a task that does not run yet. Times in seconds."""
+    """Reserve accelerators and memory for a task that does not run yet."""
 
     epoch: int
     task: str
@@ -27,13 +27,13 @@
 
 
 class StartTask(msgspec.Struct, frozen=True):
-    """Run a held task; its lease stays short until it is confirmed."""
+    """Start a held task; its lease stays short until the task is confirmed."""
 
     epoch: int
 
 
 class StopTask(msgspec.Struct, frozen=True):
-    """End a task; a polite stop may be ignored by the task, a forced one not."""
+    """Stop a task; it may ignore the mode ``polite``, but not ``force``."""
 
     epoch: int
     mode: StopMode
@@ -48,7 +48,7 @@
 
 
 class ClaimWorker(msgspec.Struct, frozen=True):
-    """Make the worker obey this epoch and no lower one from now on."""
+    """Make a worker obey this epoch, and reject lower ones from now on."""
 
     epoch: int
 
@@ -69,7 +69,7 @@
 
 
 class TaskReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker's tasks, whole or those changed after ``since``."""
+    """The tasks of a worker: all, or those that changed after ``since``."""
 
     worker: str
     epoch: int
--- a/src/firladder/_internal/models/workload.py
+++ b/src/firladder/_internal/models/workload.py
@@ -1,4 +1,4 @@
-"""Jobs as the scheduling core sees them: steps of tasks with needs and wishes."""
+"""Jobs, queues and workers as the scheduling core sees them."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resources:
-    """An amount of what a worker has: thousandths of a core, MB, accelerators."""
+    """An amount of processor (in thousandths of a core), memory and accelerators."""
 
     cpu_milli: int = 0
     memory_mb: int = 0
@@ -21,7 +21,7 @@
         )
 
     def __sub__(self, other: "Resources") -> "Resources":
-        """Return the difference; a part of it may be negative."""
+        """Return the difference; each amount in it may be negative."""
         return Resources(
             self.cpu_milli - other.cpu_milli,
             self.memory_mb - other.memory_mb,
@@ -29,7 +29,7 @@
         )
 
     def covers(self, other: "Resources") -> bool:
-        """Tell whether ``other`` fits into this amount."""
+        """Return whether ``other`` fits into this amount."""
         return (
             self.cpu_milli >= other.cpu_milli
             and self.memory_mb >= other.memory_mb
@@ -47,10 +47,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """``count`` like tasks. ``after`` numbers the steps that must be done first.
+    """``count`` equal tasks; ``after`` lists the steps that must be done first.
 
-    ``rack`` names the rack of the data, ``max_per_worker`` 0 means no bound,
-    ``long_running`` tasks run until the job is cancelled.
+    ``rack`` names the rack that holds the data. ``max_per_worker`` 0 means no
+    limit. ``long_running`` tasks run until the job is cancelled.
     """
 
     count: int
@@ -69,9 +69,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workload:
-    """What a caller submitted. ``occurrences`` 0: the steps run once, at once.
+    """What a caller submitted; with ``occurrences`` 0 the steps run once, at once.
 
-    Occurrence K is due at ``first_at_s`` + K x ``interval_s`` (Unix time).
+    Otherwise occurrence K is due at ``first_at_s`` + K x ``interval_s`` (Unix time).
     """
 
     payload: str
@@ -83,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AcceptedJob:
-    """An accepted job with the rules of its queue at that time.
+    """An accepted job with the settings of its queue at the time of acceptance.
 
     ``accepted_at_s`` is Unix time on the VM that took the job; ``pool`` names
     the workers that run the queue's tasks.
@@ -105,8 +105,9 @@
 class Queue:
     """A queue of the configuration in force.
 
-    ``stretch`` and ``slo_s`` give the latency objective: ``stretch`` times the
-    longest chain of work, and ``slo_s`` more.
+    The latency objective is ``stretch`` times the longest chain of work plus
+    ``slo_s``. With ``needs_advice`` an outside service chooses the pool, and no job
+    of the queue is placed here.
     """
 
     name: str
@@ -123,7 +124,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pool:
-    """A pool of workers; ``enforces_capacity`` tells whether they reject overload."""
+    """A pool of workers; with ``enforces_capacity`` they reject excess tasks."""
 
     name: str
     enforces_capacity: bool = False
@@ -131,7 +132,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Organisation:
-    """An organisation, its keys, and the accelerators that are always its own."""
+    """An organisation, its keys, and the number of accelerators guaranteed to it."""
 
     name: str
     keys: frozenset[str] = frozenset()
@@ -140,7 +141,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueConfiguration:
-    """One version of the operators' configuration."""
+    """The configuration of queues, pools and organisations at one version."""
 
     version: int
     queues: tuple[Queue, ...] = ()
@@ -154,8 +155,8 @@
 class WorkerEntry:
     """One incarnation of a worker, as it registered itself.
 
-    ``rack`` is empty if the worker names none; ``leaves_in_s`` is the least time left
-    while it drains.
+    ``rack`` is empty if the worker names none. While the worker drains,
+    ``leaves_in_s`` is the minimum time until it leaves.
     """
 
     worker_id: str
