--- a/src/firladder/_internal/exceptions.py
+++ b/src/firladder/_internal/exceptions.py
@@ -1,8 +1,8 @@
-"""Every failure of the product, each a type of its own.
+"""All failures, each a type of its own.
 
-A failure is a value that a function returns in place of its result; it carries
-a reason for people and never travels as a bare string. Only a wrong setting is
-raised, because it ends the process before anything runs.
+A failure is a value that a function returns instead of its result, with a readable
+reason; it is never passed on as a plain string. Only errors that must stop the
+process before anything runs are raised: a wrong setting or state chart.
 """
 
 from typing import ClassVar
@@ -11,7 +11,7 @@
 
 
 class Failure(msgspec.Struct, frozen=True, kw_only=True, tag_field="type"):
-    """Base of all sentinel values that stand for a failure."""
+    """Base of all failures."""
 
     http_status: ClassVar[int] = 500
 
@@ -21,7 +21,7 @@
 
 
 class MalformedBody(Failure, frozen=True, kw_only=True, tag="malformed_body"):
-    """The body is not JSON, or a field is missing, unknown or of a wrong type."""
+    """The body is not JSON, or a field is missing, unknown or of the wrong type."""
 
     http_status: ClassVar[int] = 400
 
@@ -33,19 +33,19 @@
 
 
 class BodyTooLarge(Failure, frozen=True, kw_only=True, tag="body_too_large"):
-    """The body exceeds the limit of this listener."""
+    """The body exceeds the size limit of this listener."""
 
     http_status: ClassVar[int] = 413
 
 
 class NotFound(Failure, frozen=True, kw_only=True, tag="not_found"):
-    """Nothing of that name exists."""
+    """Nothing with that name exists."""
 
     http_status: ClassVar[int] = 404
 
 
 class MethodNotAllowed(Failure, frozen=True, kw_only=True, tag="method_not_allowed"):
-    """The path exists, but not with this method."""
+    """The path exists, but does not support this method."""
 
     http_status: ClassVar[int] = 405
 
@@ -63,7 +63,7 @@
 
 
 class RevisionConflict(Failure, frozen=True, kw_only=True, tag="revision_conflict"):
-    """Somebody else changed the configuration since the given revision."""
+    """The configuration has changed since the given revision."""
 
     http_status: ClassVar[int] = 409
 
@@ -83,7 +83,7 @@
 
 
 class NoTarget(Failure, frozen=True, kw_only=True, tag="no_target"):
-    """No target of the service may take the request now."""
+    """No target of the service can take the request now."""
 
     http_status: ClassVar[int] = 503
 
@@ -103,7 +103,7 @@
 
 
 class NotReady(Failure, frozen=True, kw_only=True, tag="not_ready"):
-    """This process has not heard of any configuration yet."""
+    """This process has not received a configuration yet."""
 
     http_status: ClassVar[int] = 503
 
@@ -115,13 +115,13 @@
 
 
 class StoreUnavailable(Failure, frozen=True, kw_only=True, tag="store_unavailable"):
-    """The platform's store did not take the call: it has had no effect."""
+    """The platform's store did not accept the call: it has had no effect."""
 
     http_status: ClassVar[int] = 503
 
 
 class StoreUncertain(Failure, frozen=True, kw_only=True, tag="store_uncertain"):
-    """The answer of the platform's store was lost: the call may have had effect."""
+    """The answer of the platform's store was lost: the call may have had an effect."""
 
     http_status: ClassVar[int] = 503
 
@@ -129,7 +129,7 @@
 class StoreAnswerTooLarge(
     StoreUncertain, frozen=True, kw_only=True, tag="store_answer_too_large"
 ):
-    """The store's answer holds more bytes than the caller takes."""
+    """The store's answer has more bytes than the caller accepts."""
 
 
 class StoreConflict(Failure, frozen=True, kw_only=True, tag="store_conflict"):
@@ -145,7 +145,7 @@
 
 
 class NotLeader(Failure, frozen=True, kw_only=True, tag="not_leader"):
-    """The scheduler asked does not lead its failure domain."""
+    """The scheduler that was asked does not lead its failure domain."""
 
     http_status: ClassVar[int] = 503
 
@@ -163,35 +163,35 @@
 
 
 class NotSent(Failure, frozen=True, kw_only=True, tag="not_sent"):
-    """No byte of the request left this process: it has certainly not run."""
+    """No byte of the request left this process, so it has certainly not run."""
 
     http_status: ClassVar[int] = 503
 
 
 class SentUnanswered(Failure, frozen=True, kw_only=True, tag="sent_unanswered"):
-    """Bytes of the request left, and no whole matching answer came back."""
+    """Bytes of the request were sent, but no complete matching answer came back."""
 
     http_status: ClassVar[int] = 502
 
 
 class AnswerTooLarge(SentUnanswered, frozen=True, kw_only=True, tag="answer_too_large"):
-    """An answer began that holds more bytes than its caller takes."""
+    """The answer has more bytes than its caller accepts."""
 
 
 class HistoryLost(Failure, frozen=True, kw_only=True, tag="history_lost"):
-    """The changes that a watch asked for cannot be had; a new listing is needed."""
+    """The changes that a watch asked for are gone; everything must be listed again."""
 
     http_status: ClassVar[int] = 503
 
 
 class LeaseEnded(Failure, frozen=True, kw_only=True, tag="lease_ended"):
-    """A lease of the platform's store has ended, and its keys with it."""
+    """A lease of the platform's store has ended, and its keys are deleted."""
 
     http_status: ClassVar[int] = 503
 
 
 class OrderRejected(Failure, frozen=True, kw_only=True, tag="order_rejected"):
-    """A worker rejected an order; it has begun nothing for it."""
+    """A worker rejected an order and has done nothing."""
 
     http_status: ClassVar[int] = 409
 
@@ -199,37 +199,37 @@
 
 
 class WorkerRefused(Failure, frozen=True, kw_only=True, tag="worker_refused"):
-    """An unhealthy worker turned a call away and has done nothing."""
+    """An unhealthy worker rejected a call and has done nothing."""
 
     http_status: ClassVar[int] = 503
 
 
 class WorkerReplaced(Failure, frozen=True, kw_only=True, tag="worker_replaced"):
-    """Another incarnation answers at the worker's address: the one meant is gone."""
+    """Another incarnation answers at the worker's address; the one meant is gone."""
 
     http_status: ClassVar[int] = 503
 
 
 class UnknownKey(Failure, frozen=True, kw_only=True, tag="unknown_key"):
-    """No organisation has the key that came with the call."""
+    """No organisation has the key that was sent with the call."""
 
     http_status: ClassVar[int] = 401
 
 
 class JobGone(Failure, frozen=True, kw_only=True, tag="job_gone"):
-    """No such job is known, or it ended so long ago that it was forgotten."""
+    """No such job is known, or it ended so long ago that its record was removed."""
 
     http_status: ClassVar[int] = 410
 
 
 class OutcomeUnknown(Failure, frozen=True, kw_only=True, tag="outcome_unknown"):
-    """The store did not tell in time whether the call had its effect."""
+    """The store did not confirm in time whether the call took effect."""
 
     http_status: ClassVar[int] = 504
 
 
 class IllegalTransition(Failure, frozen=True, kw_only=True, tag="illegal_transition"):
-    """A state chart has no such transition from its present state."""
+    """The state chart has no such transition from its current state."""
 
 
 class CheckerMissing(Failure, frozen=True, kw_only=True, tag="checker_missing"):
@@ -237,7 +237,7 @@
 
 
 class InternalFault(Failure, frozen=True, kw_only=True, tag="internal_fault"):
-    """A defect of the product: the log has the traceback."""
+    """A defect in the code; the log has the traceback."""
 
 
 AnyFailure = (
@@ -290,14 +290,14 @@
     | NotSent
     | SentUnanswered
 )
-"""What may come of a call to a worker of the platform in place of its answer."""
+"""Failures that a call to a worker of the platform may return."""
 
 
 class SettingError(Exception):
     """A flag or environment variable is wrong; the process must not start."""
 
     def __init__(self, *, setting: str, reason: str) -> None:
-        """Keep the setting's name and what would be right."""
+        """Store the setting's name, and the reason why its value is wrong."""
         super().__init__(f"{setting}: {reason}")
         self.setting = setting
         self.reason = reason
