--- a/src/firladder/_internal/models/machine.py
+++ b/src/firladder/_internal/models/machine.py
@@ -9,7 +9,7 @@
 
 
 class Machine(msgspec.Struct, frozen=True, kw_only=True):
-    """One row of the platform's VM list, which lags; sizes are those of the whole VM."""
+    """One row of the platform's VM list, which lags; sizes are of the whole VM."""
 
     name: str
     role: Role
