--- a/features/steps/protocol_model_steps.py
+++ b/features/steps/protocol_model_steps.py
@@ -6,7 +6,7 @@
 
 from features.support.engine_world import EngineWorld, make_job, make_step
 from features.support.protocol import (
-    LOST,
+    UNREACHABLE,
     FakeClock,
     FakeStore,
     GangBench,
@@ -139,7 +139,7 @@
     @replay("attempt_written")
     async def write_first(self):
         bench = await self.begin()
-        bench.workers.refuse["reserve", "w0"] = LOST
+        bench.workers.refuse["reserve", "w0"] = UNREACHABLE
         await bench.runner.start()
         seen = bench.workers.job_at["reserve"]
         assert seen.state == "starting" and seen.attempt == 1, seen
@@ -147,14 +147,14 @@
     @replay("short_start_lease")
     async def start_short(self):
         bench = await self.begin()
-        bench.workers.refuse["start", "w1"] = LOST
+        bench.workers.refuse["start", "w1"] = UNREACHABLE
         await bench.runner.start()
         assert set(bench.workers.ttls.values()) == {3.0}
 
     @replay("confirm_when_whole")
     async def confirm_whole(self):
         bench = await self.begin()
-        bench.workers.refuse["start", "w1"] = LOST
+        bench.workers.refuse["start", "w1"] = UNREACHABLE
         await bench.runner.start()
         commands = {c for c, _ in bench.workers.commands}
         assert "confirm" not in commands and "stop" in commands, commands
@@ -174,7 +174,7 @@
             confirmed=True,
         )
         state.tasks[stray.task] = stray
-        bench.workers.refuse["stop", "w0"] = LOST
+        bench.workers.refuse["stop", "w0"] = UNREACHABLE
         await leader._admit(state)
         assert not state.claimed, "renewed beside a stray that may still run"
         bench.workers.refuse.clear()
@@ -184,7 +184,7 @@
     @replay("once_stays_once")
     async def run_once(self):
         bench = await self.begin(idempotent=False)
-        bench.workers.refuse["start", "w1"] = LOST
+        bench.workers.refuse["start", "w1"] = UNREACHABLE
         await bench.runner.start()
         assert (bench.job.state, bench.job.outcome) == ("finished", "unknown")
 
@@ -236,11 +236,11 @@
     @replay("read_back_owner")
     async def read_back(self):
         store = FakeStore()
-        store.lose_next = True
+        store.lose_next_answer = True
         assert isinstance(
             await self.make_owners(store).find_owner("r", "d", 0), OwnedHere
         )
-        store.lose_next = True
+        store.lose_next_answer = True
         other = await self.make_owners(store, "b").find_owner("r", "d", 0)
         assert isinstance(other, OwnedElsewhere), other
 
@@ -290,7 +290,7 @@
     @replay("read_back_write_id")
     async def read_back(self):
         store = FakeStore()
-        store.lose_next = True
+        store.lose_next_answer = True
         assert isinstance(await self.change(store), Accepted)
 
 
--- a/features/support/golden.py
+++ b/features/support/golden.py
@@ -164,7 +164,7 @@
         )
         stage.follow_store()
         recorder.title("the answer to the next change is lost on its way")
-        stage.store.lose_next = True
+        stage.store.lose_next_answer = True
         body = {"expected_revision": 2, "changes": changes[1]}
         await stage.second.call("operator-2", "POST", "/v1/config", body)
         recorder.title("a rule that names nobody")
--- a/features/support/protocol.py
+++ b/features/support/protocol.py
@@ -54,7 +54,7 @@
         self.entries: dict[str, Entry] = {}
         self.revision = 0
         self.down = False
-        self.lose_next = False
+        self.lose_next_answer = False
         self.expired = False
         self._leases = itertools.count(1)
 
@@ -87,8 +87,8 @@
             if not isinstance(change, Delete):
                 entry = Entry(change.key, change.value, self.revision, change.lease)
                 self.entries[change.key] = entry
-        if self.lose_next:
-            self.lose_next = False
+        if self.lose_next_answer:
+            self.lose_next_answer = False
             return StoreUncertain(reason="the answer was lost")
         return Committed(self.revision)
 
@@ -160,7 +160,7 @@
         return TaskReport(worker=address, epoch=req.epoch, sequence=0)
 
 
-LOST = WorkerUnreachable(reason="no answer")
+UNREACHABLE = WorkerUnreachable(reason="no answer")
 
 
 class GangBench:
