--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -11,22 +11,22 @@
 
 _numbers = itertools.count(1)
 
-CUT_S = 4.0
-"""Longer than the leader's lease of two seconds, so that it leads alone."""
+PARTITION_S = 4.0
+"""Longer than the leader's lease of two seconds, so that it leads without the store."""
 
 NEEDS_STORE = {"own id", "job", "change"}
 NEEDS_OTHERS = {"ticket of another"}
-KINDS = ("ticket", "idempotent", "ticket of another", "own id", "job", "change")
+CALL_KINDS = ("ticket", "idempotent", "ticket of another", "own id", "job", "change")
 
 
 class Isolation:
-    """Calls at a failure domain that is cut off, and what became of them."""
+    """Calls to a failure domain that is partitioned, and their answers."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
         self.operators = Operators(site)
         self.first, _, self.third = site.layout.domains
-        self.pool = concurrent.futures.ThreadPoolExecutor(len(KINDS))
+        self.pool = concurrent.futures.ThreadPoolExecutor(len(CALL_KINDS))
         self.calls: list[tuple[str, dict]] = []
         self.answers: list[tuple[str, int, dict]] = []
         self.repeated: list[tuple[str, int, dict]] = []
@@ -65,7 +65,7 @@
         return runs
 
     def prepare(self, kind: str) -> dict:
-        """Return the body of a call; tickets are fetched before the cut."""
+        """Return the body of a call; tickets are fetched before the partition."""
         number = next(_numbers)
         if kind in ("job", "change"):
             return {"name": f"{kind}-{number}"}
@@ -100,8 +100,8 @@
         self.site.cut_from_store()
 
     def call_all(self, what: str) -> None:
-        """Cut, make one call of each kind, and heal when the cut has lasted."""
-        bodies = [(kind, self.prepare(kind)) for kind in KINDS]
+        """Partition the third, make one call of each kind, and heal the network."""
+        bodies = [(kind, self.prepare(kind)) for kind in CALL_KINDS]
         began = time.monotonic()
         self.cut(what)
         answers = list(self.pool.map(lambda c: self.send(*c), bodies))
@@ -109,7 +109,7 @@
         self.answers += answers
         status = self.operators.list_status(self.third)
         assert status["store_reachable"] == ("store" not in what), status
-        time.sleep(max(0.0, began + CUT_S - time.monotonic()))
+        time.sleep(max(0.0, began + PARTITION_S - time.monotonic()))
         self.heal()
         wait_for(lambda: self.rejoined(), what="the third failure domain rejoined")
 
@@ -130,13 +130,13 @@
     context.isolation.start_gang()
 
 
-@when("the third is cut off from {what} and calls of every kind come in, {times}")
-def cut_and_call(context, what, times):
+@when("the third is partitioned from {what} and calls of every kind arrive, {times}")
+def partition_and_call(context, what, times):
     for _ in range({"once": 1, "twice": 2}[times]):
         context.isolation.call_all(what)
 
 
-@then("what needs neither {what} was served")
+@then("every call that needs neither {what} was served")
 def check_served(context, what):
     isolation = context.isolation
     needs = isolation.list_needs(what)
@@ -147,19 +147,19 @@
     isolation.needs = needs
 
 
-@then("the rest was refused truthfully with a time to come back")
+@then("every other call was refused with its true reason and a time to retry")
 def check_refused(context):
-    truths = {
-        # Not "not run": an earlier try under the id may have run elsewhere.
+    expected = {
+        # Not "not run": an earlier attempt under the id may have run elsewhere.
         "own id": ("unknown", {"store_unavailable"}),
-        # Whether the other gateway's silence or the deadline comes first is open.
+        # Either the other gateway counts as unreachable or the deadline passes first.
         "ticket of another": ("unknown", {"peer_unreachable", "sent_unanswered"}),
         "job": (None, {"store_unavailable", "store_uncertain"}),
         "change": (None, {"store_unavailable"}),
     }
     for kind, status, answer in context.isolation.answers:
         if kind in context.isolation.needs:
-            outcome, types = truths[kind]
+            outcome, types = expected[kind]
             failure = answer.get("failure") or answer
             assert status in (503, 504), (kind, status, answer)
             assert answer.get("outcome") == outcome, (kind, answer)
@@ -167,7 +167,7 @@
             assert (failure["retry_after_s"] or 0) > 0, (kind, answer)
 
 
-@when("the cut is over and callers repeat what was refused")
+@when("the partition is over and callers repeat the refused calls")
 def repeat_refused(context):
     isolation = context.isolation
     for kind, body in isolation.calls:
--- a/features/steps/jobs_worker_steps.py
+++ b/features/steps/jobs_worker_steps.py
@@ -14,7 +14,7 @@
 
 
 class ConductCheck:
-    """What a worker's failures lead to."""
+    """The failure record of a worker on which distinct jobs have failed twice each."""
 
     def __init__(self, failures: int) -> None:
         self.conduct = WorkerHealth()
@@ -24,14 +24,14 @@
 
 
 class SelectorCheck:
-    """Two jobs on the old workers, and a selector that changes under them."""
+    """Two jobs running on the old worker, and a selector that then excludes it."""
 
     def __init__(self) -> None:
         self.world = World(make_machines(racks=1, workers=2), {"daily": Organisation()})
         self.world.labels = {"w0-0": {"hall": "old"}, "w0-1": {"hall": "new"}}
         old = parse_selector("hall=old")
         assert isinstance(old, Selector)
-        self.saves, self.plain = (
+        self.checkpointable, self.plain = (
             self.world.submit("daily", accelerators=2, checkpointable=s, workers=old)
             for s in (True, False)
         )
@@ -47,7 +47,7 @@
         return self.world.running[job].members[0].worker
 
 
-@given("a jobs-conduct record with failures of {count:d} distinct jobs")
+@given("a jobs-world worker with failures of {count:d} distinct jobs")
 def make_conduct(context, count):
     context.conduct = ConductCheck(count).conduct
 
@@ -88,7 +88,7 @@
 @given("a jobs-world with a checkpointable and a plain job running")
 def run_two(context):
     context.selector = SelectorCheck()
-    assert context.selector.find_worker(context.selector.saves) == "w0-0"
+    assert context.selector.find_worker(context.selector.checkpointable) == "w0-0"
     assert context.selector.find_worker(context.selector.plain) == "w0-0"
 
 
@@ -99,7 +99,7 @@
 
 @then("only the checkpointable job is moved and runs where it may")
 def check_moved(context):
-    assert context.selector.find_worker(context.selector.saves) == "w0-1"
+    assert context.selector.find_worker(context.selector.checkpointable) == "w0-1"
 
 
 @then("the plain job still runs where it was")
