--- a/features/protocol_gangs.feature
+++ b/features/protocol_gangs.feature
@@ -4,20 +4,19 @@
   confirmed, 6 s afterwards, 2 s for the leadership.
 
   Scenario: One member never starts
-    One worker accepts its member of a squad's rebuild and then never runs it.
-    The coach would find one part of the block rebuilt, and accelerators held
-    by a gang that can never end.
+    A worker accepts its member of a gang and never runs it. The other member would
+    run alone, and hold accelerators for a gang that can never end.
     Given a protocol site of 3 workers
-    And protocol worker 1 never starts what it holds
+    And protocol worker 1 never starts the tasks that it holds
     When a protocol gang of 2 members runs for 1 s
     Then the protocol gang ends as "done"
-    And the protocol gang never ran in part for longer than 2 s
-    And protocol promises hold on every worker
+    And the protocol gang never ran partially for longer than 2 s
+    And no protocol worker is overcommitted and no attempts overlap
 
   Scenario Outline: The leader is <how> while members are <moment>
-    The scheduler that places a rebuild goes away after it has reserved, or
-    started, one member and not the other. The member that started would run on
-    alone, and the job would stand still.
+    The leader fails after it has reserved, or started, one member and not the
+    other. The member that started would run on alone, and the job would never
+    continue.
     Given a protocol site of 3 workers
     And protocol worker 2 answers after 0.8 s
     When a protocol gang of 2 members runs for 4 s
@@ -25,8 +24,8 @@
     And protocol worker 2 answers after 0 s
     Then the protocol gang ends as "done"
     And the protocol leader that was <how> is back
-    And the protocol gang never ran in part for longer than 2 s
-    And protocol promises hold on every worker
+    And the protocol gang never ran partially for longer than 2 s
+    And no protocol worker is overcommitted and no attempts overlap
 
     Examples:
       | how    | moment  |
@@ -36,22 +35,22 @@
       | frozen | running |
 
   Scenario: The leader of a job that must run once dies between start and confirm
-    A plan delivery has started on one of its two workers when the scheduler
-    dies. Starting it again could send the plan twice, so its caller learns that
-    it may have run.
+    A job that must run once has started on one of its two workers when the leader
+    dies. A second start could run it twice, so its caller learns that it may have
+    run.
     Given a protocol site of 3 workers
     And protocol worker 2 answers after 0.8 s
     When a protocol gang of 2 members that must run once runs for 4 s
     And the protocol leader is killed once worker 1 has a member running
     Then the protocol gang ends as "unknown"
     And the protocol gang was attempted once
-    And the protocol gang never ran in part for longer than 2 s
-    And protocol promises hold on every worker
+    And the protocol gang never ran partially for longer than 2 s
+    And no protocol worker is overcommitted and no attempts overlap
 
   Scenario: The leader dies when one member runs and the other never will
-    Nobody is left to end the member that runs, for twice as long as its lease
-    lasts. Only because that lease is short does it not compute alone, on
-    accelerators that others wait for, until a successor is there.
+    For twice as long as the lease of the running member lasts, no leader is there
+    to end it. Only because that lease is short does the member not run alone, on
+    accelerators that others wait for, until a successor is elected.
     Given a protocol site of 3 workers with leadership leases of 4 s
     And protocol worker 2 answers after 0.8 s and never starts
     When a protocol gang of 2 members runs for 6 s
@@ -59,5 +58,5 @@
     Then a protocol successor commands every worker within 8 s
     When protocol worker 2 answers after 0 s
     Then the protocol gang ends as "done"
-    And the protocol gang never ran in part for longer than 2 s
-    And protocol promises hold on every worker
+    And the protocol gang never ran partially for longer than 2 s
+    And no protocol worker is overcommitted and no attempts overlap
--- a/features/steps/protocol_attempt_steps.py
+++ b/features/steps/protocol_attempt_steps.py
@@ -30,8 +30,8 @@
     asyncio.run(context.bench.elect())
 
 
-@when("the protocol job is evicted {times:d} times")
-def evict(context, times):
+@when("the protocol job is preempted {times:d} times")
+def preempt(context, times):
     for _ in range(times):
         run_attempt(context.bench, lambda: StopGang("evicted"))
 
@@ -81,6 +81,6 @@
     assert (job.state, job.failures) == ("queued", failures), job
 
 
-@then('the protocol job is over as "{outcome}"')
-def check_over(context, outcome):
+@then('the protocol job has ended as "{outcome}"')
+def check_ended(context, outcome):
     assert context.bench.job.outcome == outcome, context.bench.job
--- a/features/steps/protocol_gang_steps.py
+++ b/features/steps/protocol_gang_steps.py
@@ -9,14 +9,14 @@
     find_overlap,
     list_histories,
     list_intervals,
-    measure_half_run,
+    measure_partial_run,
 )
 from standins.site import Layout, Site, call, wait_for
 
 DOMAIN = "bern-halle"
 LEADER_TTL_S = 2.0
 SLACK_S = 0.7
-"""What a busy machine adds to a lease before its end shows."""
+"""Allowance for a busy machine, which notices the end of a lease late."""
 
 SETTINGS = {
     "scheduler.task_ttl_s": "6",
@@ -26,7 +26,7 @@
 
 
 class ProtocolSite:
-    """One failure domain of two entry VMs, and the jobs it is given."""
+    """One failure domain with two entry VMs, and the jobs submitted to it."""
 
     _numbers = itertools.count(1)
 
@@ -36,8 +36,8 @@
         self.stopped_leader = ""
         site.configure({"kind": "organisation", "name": "squads", "value": {}})
         site.wait_leader(DOMAIN)
-        # A worker that is slow to start would move gangs to other workers than
-        # those that a scenario watches.
+        # While a worker is still starting, gangs would be placed on other workers
+        # than those that a scenario checks.
         wait_for(self._is_claimed, 20, "every worker is claimed")
 
     def _is_claimed(self) -> bool:
@@ -98,7 +98,7 @@
         leader = self.site.wait_leader(DOMAIN)["leader"]
         return f"{leader.split('/')[0]}/scheduler"
 
-    def take_leader(self, how: str) -> None:
+    def stop_leader(self, how: str) -> None:
         self.stopped_leader = self.find_leader()
         child = self.site.child(self.stopped_leader)
         {
@@ -112,7 +112,7 @@
 
 
 @given("a protocol site of {workers:d} workers with leadership leases of {ttl_s} s")
-def start_patient_site(context, workers, ttl_s):
+def start_site_with_lease(context, workers, ttl_s):
     start_protocol_site(context, workers, {"scheduler.leader_ttl_s": ttl_s})
 
 
@@ -127,7 +127,7 @@
     context.protocol = ProtocolSite(start_site(context, layout))
 
 
-@given("protocol worker {number:d} never starts what it holds")
+@given("protocol worker {number:d} never starts the tasks that it holds")
 def never_start(context, number):
     protocol = context.protocol
     protocol.site.behave(protocol.worker(number), never_start=True)
@@ -156,30 +156,30 @@
 
 
 @when("the protocol leader is {how} once worker {number:d} has a member {state}")
-def take_leader_at(context, how, number, state):
+def stop_leader_at(context, how, number, state):
     protocol = context.protocol
     leader = protocol.find_leader()
     protocol.wait_member(number, protocol.job, state)
-    protocol.epoch, protocol.taken_at = protocol.read_epoch(), time.monotonic()
-    protocol.take_leader(how)
+    protocol.epoch, protocol.stopped_at = protocol.read_epoch(), time.monotonic()
+    protocol.stop_leader(how)
     assert protocol.stopped_leader == leader
 
 
-@when("the protocol gang runs whole")
-def wait_whole(context):
+@when("all members of the protocol gang run")
+def wait_running(context):
     protocol = context.protocol
     protocol.wait_member(1, protocol.job, "running")
     wait_for(lambda: protocol.find_job(protocol.job)["state"] == "running", 20, "start")
 
 
-@when("protocol worker {number:d} is cut off")
-def cut_worker(context, number):
+@when("protocol worker {number:d} is partitioned")
+def partition_worker(context, number):
     protocol = context.protocol
     protocol.site.behave(protocol.worker(number), cut=["127.0.1."])
 
 
-@when("protocol worker {number:d} is cut off no longer")
-def heal_worker(context, number):
+@when("protocol worker {number:d} is reachable again")
+def reconnect_worker(context, number):
     protocol = context.protocol
     protocol.site.behave(protocol.worker(number))
 
@@ -208,7 +208,7 @@
     status, answer = call(protocol.site.gateway(), "DELETE", path)
     assert status in (200, 202), answer
     if leader_dies:
-        protocol.take_leader("killed")
+        protocol.stop_leader("killed")
 
 
 @then('the protocol gang ends as "{outcome}"')
@@ -218,7 +218,7 @@
 
 
 @then("the protocol leader that was {how} is back")
-def bring_back(context, how):
+def restore_leader(context, how):
     protocol = context.protocol
     child = protocol.site.child(protocol.stopped_leader)
     if how == "frozen":
@@ -229,15 +229,19 @@
     wait_for(lambda: call(address, "GET", "/health/live")[0] == 200, 20, "live again")
 
 
-@then("the protocol gang never ran in part for longer than {bound_s:g} s")
-def check_half_run(context, bound_s):
-    half_s = measure_half_run(context.protocol.list_intervals(context.protocol.job))
-    print(f"ran in part for {half_s:.2f} s")
-    assert half_s <= bound_s + SLACK_S, half_s
+@then("the protocol gang never ran partially for longer than {bound_s:g} s")
+def check_partial_run(context, bound_s):
+    partial_s = measure_partial_run(
+        context.protocol.list_intervals(context.protocol.job)
+    )
+    print(f"ran partially for {partial_s:.2f} s")
+    assert partial_s <= bound_s + SLACK_S, partial_s
 
 
-@then("the protocol gang never ran in part for longer than {bound_s:g} s after {s:g} s")
-def check_half_run_later(context, bound_s, s):
+@then(
+    "the protocol gang never ran partially for longer than {bound_s:g} s after {s:g} s"
+)
+def check_partial_run_later(context, bound_s, s):
     protocol = context.protocol
     first = protocol.list_intervals(protocol.job)[0]["start"]
 
@@ -246,7 +250,7 @@
         return any(i["end"] - first >= s for i in intervals)
 
     wait_for(is_old, 40, f"{s} s since the start")
-    check_half_run(context, bound_s)
+    check_partial_run(context, bound_s)
 
 
 @then("the protocol gang was attempted once")
@@ -258,14 +262,14 @@
 
 
 @then("no member of the protocol gang runs any more")
-def check_gone(context):
+def check_stopped(context):
     protocol = context.protocol
     intervals = protocol.list_intervals(protocol.job)
     assert all(i["state"] != "running" for i in intervals), intervals
 
 
-@then("protocol promises hold on every worker")
-def check_promises(context):
+@then("no protocol worker is overcommitted and no attempts overlap")
+def check_overcommitment(context):
     protocol = context.protocol
     histories = list_histories(protocol.site)
     assert not any(h["overcommitted"] for h in histories), histories
--- a/features/steps/protocol_leadership_steps.py
+++ b/features/steps/protocol_leadership_steps.py
@@ -8,10 +8,10 @@
 
 
 @when("the protocol leader is {how}")
-def take_leader(context, how):
+def stop_leader(context, how):
     context.protocol.epoch = context.protocol.read_epoch()
-    context.protocol.take_leader(how)
-    context.protocol.taken_at = time.monotonic()
+    context.protocol.stop_leader(how)
+    context.protocol.stopped_at = time.monotonic()
 
 
 @then("a protocol successor commands every worker within {limit_s:g} s")
@@ -23,7 +23,7 @@
         return min(epochs) > protocol.epoch
 
     wait_for(is_claimed, 20, "a successor that commands every worker")
-    spent_s = time.monotonic() - protocol.taken_at
+    spent_s = time.monotonic() - protocol.stopped_at
     print(f"takeover took {spent_s:.2f} s")
     assert spent_s <= limit_s, spent_s
 
@@ -58,12 +58,12 @@
     context.protocol.site.set_faults(outage=True)
 
 
-@when("the protocol store is back")
+@when("the protocol store is up again")
 def start_store(context):
     context.protocol.site.set_faults()
 
 
-@then("protocol job {number:d} runs whole without the store")
+@then("all members of protocol job {number:d} run without the store")
 def check_isolated_start(context, number):
     protocol = context.protocol
     job = protocol.jobs[number - 1]
--- a/features/support/gangs.py
+++ b/features/support/gangs.py
@@ -1,4 +1,4 @@
-"""Judge gangs by what the workers saw: merge the histories of all workers."""
+"""Check gangs against the merged histories of all workers."""
 
 import itertools
 import time
@@ -9,22 +9,22 @@
 
 
 def list_histories(site: Site) -> list[dict[str, Any]]:
-    """Return what every worker of the site has seen."""
+    """Return the history of every worker of the site."""
     workers = [m for m in site.machines if m["role"] == "worker"]
     return [call(m["address"], "GET", "/control/history")[1] for m in workers]
 
 
 def list_intervals(histories: Iterable[dict[str, Any]], job: str) -> list[dict]:
-    """Return the runs of a job's members, an open one ending now."""
+    """Return the runs of a job's members; one that still runs ends now."""
     now = time.time()
     merged = itertools.chain.from_iterable(h["intervals"] for h in histories)
     return [{**i, "end": i["end"] or now} for i in merged if i["job"] == job]
 
 
-def measure_half_run(intervals: list[dict]) -> float:
-    """Return the longest time, in seconds, in which an attempt ran in part.
+def measure_partial_run(intervals: list[dict]) -> float:
+    """Return the longest time, in seconds, for which an attempt ran partially.
 
-    A member that is done counts as present: the others may end a little later.
+    A member that is done counts as running: the others may end a little later.
     """
     attempts = {i["attempt"] for i in intervals}
     parts = [[i for i in intervals if i["attempt"] == a] for a in attempts]
@@ -33,18 +33,18 @@
 
 def _measure_attempt(intervals: list[dict]) -> float:
     moments = sorted({t for i in intervals for t in (i["start"], i["end"])})
-    longest = spell = 0.0
+    longest = partial_s = 0.0
     for begin, end in itertools.pairwise(moments):
         running = sum(i["start"] <= begin < i["end"] for i in intervals)
         done = sum(i["state"] == "done" and i["end"] <= begin for i in intervals)
         partial = running > 0 and running + done < intervals[0]["gang_size"]
-        spell = spell + end - begin if partial else 0.0
-        longest = max(longest, spell)
+        partial_s = partial_s + end - begin if partial else 0.0
+        longest = max(longest, partial_s)
     return longest
 
 
 def find_overlap(intervals: list[dict]) -> tuple[dict, dict] | None:
-    """Return runs of two attempts of one job that happened at once, if any."""
+    """Return two overlapping runs of different attempts of one job, or None."""
     pairs = itertools.combinations(intervals, 2)
     return next(
         (
--- a/features/support/protocol.py
+++ b/features/support/protocol.py
@@ -1,4 +1,4 @@
-"""Drive the real decision code without sockets: a clock, a store and workers."""
+"""Fakes of the clock, the store and the workers, for real code without sockets."""
 
 import asyncio
 import itertools
@@ -35,7 +35,7 @@
 
 
 class FakeClock:
-    """Time that moves when a test says so."""
+    """A clock that a test sets."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -48,7 +48,7 @@
 
 
 class FakeStore:
-    """One revision order in memory; may be down, or lose the next answer."""
+    """A store in memory; it may be down, or lose the answer to the next commit."""
 
     def __init__(self) -> None:
         self.entries: dict[str, Entry] = {}
@@ -63,7 +63,7 @@
 
     async def range(self, prefix: str) -> Any:
         found = Snapshot(self.revision, tuple(self.entries_of(prefix).values()))
-        await asyncio.sleep(0)  # somebody else may write before the reader does
+        await asyncio.sleep(0)  # another writer may run before the reader continues
         return found
 
     async def grant_lease(self, ttl_s: int, **_: Any) -> Any:
@@ -103,7 +103,7 @@
 def make_leadership(
     store: FakeStore, clock: FakeClock, *, vm: str = "bern-halle-1", peers: Any = list
 ) -> Leadership:
-    """Return a candidate with leases of 10 s."""
+    """Return the leadership of a candidate with leases of 10 s."""
     identity = Identity(vm, "scheduler", "bern-halle", f"start-{vm}", "", "")
     return Leadership(
         identity=identity,
@@ -117,7 +117,7 @@
 
 
 def make_peer(*, leading: int = 0, store_reachable: bool = False) -> Heartbeat:
-    """Return another scheduler of the failure domain as it describes itself."""
+    """Return the heartbeat of another scheduler of the failure domain."""
     identity = Identity("bern-halle-2", "scheduler", "bern-halle", "other", "", "")
     return Heartbeat(
         identity=identity, revision=0, leading=leading, store_reachable=store_reachable
@@ -125,7 +125,7 @@
 
 
 class FakeWorkers:
-    """Workers that record each command, and what the store had at that time."""
+    """Workers that record each command, and the job as stored at that time."""
 
     def __init__(self, store: FakeStore) -> None:
         self.store = store
@@ -164,7 +164,7 @@
 
 
 class GangBench:
-    """One gang of two on two workers, with its real runner, ledger and books."""
+    """A gang of two on two workers, with the real runner, ledger and accounting."""
 
     def __init__(self, **spec: Any) -> None:
         self.clock, self.store = FakeClock(), FakeStore()
@@ -173,7 +173,7 @@
         self.spec = JobSpec(id="job", organisation="squads", members=2, **spec)
 
     async def elect(self) -> None:
-        """Win the election, and write and read the job."""
+        """Win the election, and write the job to the store and the ledger."""
         await self.leadership._campaign()
         record = JobRecord(
             spec=self.spec, failure_domain="bern-halle", submitted_at=0, spec_digest=""
@@ -198,7 +198,7 @@
         self.place()
 
     def place(self) -> None:
-        """Make a runner for the job as the ledger has it now."""
+        """Create a runner for the job as the ledger now has it."""
         members = tuple(Member(f"job.{n}", f"w{n}", (0,)) for n in range(2))
         gang = GangState(self.ledger.jobs["job"], members, 0.0)
         self.accounting.gangs["job"] = gang
@@ -219,7 +219,7 @@
         )
 
     def make_domain_leader(self) -> tuple[DomainLeader, WorkerState]:
-        """Return the real leader over the same parts, and its first worker."""
+        """Return a real leader with the same parts, and its first worker."""
         leader = DomainLeader(
             failure_domain="bern-halle",
             leadership=self.leadership,
@@ -238,7 +238,7 @@
         return leader, self.accounting.workers["w0"]
 
     async def wait(self, condition: Any) -> None:
-        """Let the tasks run until the condition holds."""
+        """Let the event loop run until the condition holds."""
         while not condition():
             await asyncio.sleep(0.01)
 
