--- a/features/support/golden_job.py
+++ b/features/support/golden_job.py
@@ -18,7 +18,7 @@
     StopGang,
 )
 from firladder._internal.scheduler.gangs import GangRunner
-from firladder._internal.scheduler.ledger import PREFIX, Ledger
+from firladder._internal.scheduler.ledger import JOB_PREFIX, Ledger
 from firladder._internal.utils.clocks import LogicalClock
 from firladder._internal.utils.codec import encode_json
 from firladder._internal.utils.events import Timeline
@@ -91,7 +91,7 @@
 
     def place(self) -> tuple[GangRunner, "asyncio.Task[None]"]:
         """Let the placement policy decide, and start the gang it places."""
-        self.ledger.read_entries(self.stage.store.entries_of(PREFIX))
+        self.ledger.read_entries(self.stage.store.entries_of(JOB_PREFIX))
         view = self.accounting.view(
             jobs=self.ledger.jobs.values(),
             configuration=self.stage.first.configuration.current,
--- a/features/support/protocol.py
+++ b/features/support/protocol.py
@@ -29,7 +29,7 @@
 from firladder._internal.scheduler.gang_messages import GangTimes
 from firladder._internal.scheduler.gangs import GangRunner
 from firladder._internal.scheduler.leadership import Leadership
-from firladder._internal.scheduler.ledger import PREFIX, Ledger
+from firladder._internal.scheduler.ledger import JOB_PREFIX, Ledger
 from firladder._internal.utils.clocks import LogicalClock
 from firladder._internal.utils.events import Timeline
 
@@ -136,7 +136,7 @@
 
     def _answer(self, command: str, address: str, task: str) -> Any:
         self.commands.append((command, address))
-        entry = self.store.entries[f"{PREFIX}job"]
+        entry = self.store.entries[f"{JOB_PREFIX}job"]
         record = msgspec.json.decode(entry.value, type=JobRecord)
         self.job_at.setdefault(command, record)
         refused = self.refuse.get((command, address))
@@ -179,7 +179,7 @@
             spec=self.spec, failure_domain="bern-halle", submitted_at=0, spec_digest=""
         )
         self.store.revision += 1
-        key = f"{PREFIX}job"
+        key = f"{JOB_PREFIX}job"
         entry = Entry(key, msgspec.json.encode(record), self.store.revision, 0)
         self.store.entries[key] = entry
         self.ledger = Ledger(
@@ -188,7 +188,7 @@
             term=Compare(self.leadership.key, self.leadership.epoch),
             on_superseded=lambda: self.leadership.step_down("superseded"),
         )
-        self.ledger.read_entries(self.store.entries_of(PREFIX))
+        self.ledger.read_entries(self.store.entries_of(JOB_PREFIX))
         self.accounting = Accounting("bern-halle")
         for name in ("w0", "w1"):
             machine = Machine(
@@ -245,5 +245,5 @@
     @property
     def job(self) -> JobRecord:
         """Return the job as the store has it."""
-        entry = self.store.entries[f"{PREFIX}job"]
+        entry = self.store.entries[f"{JOB_PREFIX}job"]
         return msgspec.json.decode(entry.value, type=JobRecord)
--- a/src/firladder/_internal/gateway/configuration.py
+++ b/src/firladder/_internal/gateway/configuration.py
@@ -118,7 +118,7 @@
         clock: int = 0,
     ) -> Failure | None:
         entry = next((e for e in snapshot.entries if e.key == HEAD_KEY), None)
-        head = read_head(entry).follow(
+        head = read_head(entry).make_successor(
             revision=revision, write_id=mint_write_id(), clock=clock
         )
         compares = [Compare(HEAD_KEY, entry.mod_revision if entry else 0)]
@@ -147,7 +147,7 @@
         if isinstance(entry, StoreUnavailable | StoreUncertain):
             return _make_uncertain_failure()
         head = read_head(entry)
-        if head.holds(written.write_id):
+        if head.has_write(written.write_id):
             return None
         return RevisionConflict(
             reason=f"the configuration is at revision {head.revision}",
--- a/src/firladder/_internal/models/configuration.py
+++ b/src/firladder/_internal/models/configuration.py
@@ -103,11 +103,11 @@
     recent: tuple[str, ...] = ()
     clock: int = 0
 
-    def holds(self, write_id: str) -> bool:
+    def has_write(self, write_id: str) -> bool:
         """Return whether this write took effect as the last or a recent one."""
         return write_id == self.write_id or write_id in self.recent
 
-    def follow(
+    def make_successor(
         self, *, revision: int, write_id: str, clock: int
     ) -> "ConfigurationHead":
         """Return the head that the next change writes."""
--- a/src/firladder/_internal/scheduler/daemon.py
+++ b/src/firladder/_internal/scheduler/daemon.py
@@ -24,7 +24,7 @@
 from .domain import DomainLeader
 from .gang_messages import GangTimes
 from .leadership import Leadership
-from .ledger import PREFIX, Ledger
+from .ledger import JOB_PREFIX, Ledger
 
 routes = RouteTable()
 add_operations(routes)
@@ -119,7 +119,7 @@
             ),
             logical=self.logical,
         )
-        mirror = self.mirror(PREFIX, ledger.read_entries)
+        mirror = self.mirror(JOB_PREFIX, ledger.read_entries)
         mirror_task = self.tasks.spawn(mirror.run(), name="mirror-jobs")
         leader = DomainLeader(
             failure_domain=self.identity.failure_domain,
--- a/src/firladder/_internal/scheduler/leadership.py
+++ b/src/firladder/_internal/scheduler/leadership.py
@@ -22,7 +22,7 @@
 
 logger = logging.getLogger(__name__)
 
-PREFIX = "leaders/"
+LEADER_PREFIX = "leaders/"
 
 LEASE_MARGIN_SHARE = 0.1
 """Share of the lease that is left unused, to allow for clocks that run at different
@@ -77,7 +77,7 @@
     @property
     def key(self) -> str:
         """Return the leader's key of this failure domain."""
-        return PREFIX + self._identity.failure_domain
+        return LEADER_PREFIX + self._identity.failure_domain
 
     @property
     def isolated(self) -> bool:
--- a/src/firladder/_internal/scheduler/ledger.py
+++ b/src/firladder/_internal/scheduler/ledger.py
@@ -17,7 +17,7 @@
 
 logger = logging.getLogger(__name__)
 
-PREFIX = "jobs/"
+JOB_PREFIX = "jobs/"
 
 WRITE_RETRY_S = 0.5
 
@@ -60,7 +60,7 @@
         gone = set(self._revisions) - set(entries)
         for key in gone:
             del self._revisions[key]
-            self.jobs.pop(key.removeprefix(PREFIX), None)
+            self.jobs.pop(key.removeprefix(JOB_PREFIX), None)
         self.changed.set()
 
     def _apply(self, entry: Entry) -> None:
@@ -82,7 +82,7 @@
 
         ``change`` returns None if the job in its current state must not be changed.
         """
-        key = PREFIX + job_id
+        key = JOB_PREFIX + job_id
         write_ids: set[str] = set()
         while True:
             job = self.jobs.get(job_id)
