--- a/src/firladder/_internal/scheduler/domain.py
+++ b/src/firladder/_internal/scheduler/domain.py
@@ -67,7 +67,7 @@
             self._ledger.changed.clear()
 
     def _recover(self, claimed_workers: set[str]) -> None:
-        """Take over gangs of which all members run; end the rest of the others."""
+        """Take over gangs of which all members run, and end the others."""
         index = TaskIndex(self.accounting.workers.values())
         for job in list(self._ledger.jobs.values()):
             if job.state in ("starting", "running"):
--- a/src/firladder/_internal/scheduler/ledger.py
+++ b/src/firladder/_internal/scheduler/ledger.py
@@ -87,13 +87,15 @@
         while True:
             job = self.jobs.get(job_id)
             if job is None:
-                return StoreConflict(reason="the job is gone")
+                return StoreConflict(reason="the job is not in the store")
             if job.write_id in write_ids:
                 # An earlier write of this call has taken effect, its answer lost.
                 return job
             updated = change(job) if job.epoch <= self._term.mod_revision else None
             if updated is None:
-                return StoreConflict(reason="the job has moved on")
+                return StoreConflict(
+                    reason="the state or epoch of the job does not allow the change"
+                )
             updated = msgspec.structs.replace(
                 updated,
                 write_id=mint_write_id(),
--- a/src/firladder/_internal/scheduler/members.py
+++ b/src/firladder/_internal/scheduler/members.py
@@ -137,7 +137,7 @@
 
     async def _command(self, member: Member, send: Callable[[Member], Any]) -> Any:
         if not self._leadership.may_act(self._epoch):
-            return FencedOff(reason="the lease may have ended")
+            return FencedOff(reason="the leader's lease may have expired")
         if member.worker not in self._accounting.workers:
             return WorkerUnreachable(reason="the worker left the VM list")
         result = await send(member)
