--- a/features/steps/engine_speeds_steps.py
+++ b/features/steps/engine_speeds_steps.py
@@ -34,7 +34,7 @@
             self.step()
 
     def submit(self, width, runs_s, off):
-        step = make_step(width, 2, max_per_worker=1)
+        step = make_step(width, 2, most_per_worker=1)
         step = dataclasses.replace(step, estimate_s=runs_s * off)
         name = f"job-{next(self.names)}"
         self.runs_s = runs_s
--- a/features/steps/engine_stalls_steps.py
+++ b/features/steps/engine_stalls_steps.py
@@ -12,7 +12,7 @@
 def begin(context, name, count, *, checkpoints=False, accelerators=8):
     world = context.world
     step = make_step(
-        count, accelerators, gang=True, checkpoints=checkpoints, max_per_worker=1
+        count, accelerators, gang=True, checkpoints=checkpoints, most_per_worker=1
     )
     world.submit(make_job(name, step, at=world.now))
     world.accept(world.start_all())
--- a/features/support/engine_world.py
+++ b/features/support/engine_world.py
@@ -216,6 +216,6 @@
         rng.choice([1, 2, 4, 8]),
         gang=gang,
         one_rack=gang and rng.random() < 0.5,
-        max_per_worker=0 if gang else rng.choice([0, 0, 1]),
+        most_per_worker=0 if gang else rng.choice([0, 0, 1]),
     )
     return make_job(f"{number:016x}", step, priority=rng.randint(0, 2), at=now)
--- a/src/firladder/_internal/engine/placement.py
+++ b/src/firladder/_internal/engine/placement.py
@@ -158,7 +158,7 @@
 def _takes(
     step: Step, worker_id: str, free: dict[str, Resources], used: dict[str, int]
 ) -> bool:
-    if step.max_per_worker and used.get(worker_id, 0) >= step.max_per_worker:
+    if step.most_per_worker and used.get(worker_id, 0) >= step.most_per_worker:
         return False
     return free[worker_id].covers(step.need)
 
--- a/src/firladder/_internal/engine/planning.py
+++ b/src/firladder/_internal/engine/planning.py
@@ -300,7 +300,7 @@
         return unit.avoided if usable else set()
 
     def _count_taken(self, unit: Unit) -> dict[str, int]:
-        if not unit.step.max_per_worker:
+        if not unit.step.most_per_worker:
             return {}
         taken: dict[str, int] = {}
         for other in unit.job.by_step[unit.occurrence, unit.step_index]:
--- a/src/firladder/_internal/engine/preemption.py
+++ b/src/firladder/_internal/engine/preemption.py
@@ -113,8 +113,8 @@
             best: tuple[float, int, str, list[Unit]] | None = None
             for candidate in pool:
                 worker_id = candidate.worker_id
-                if step.max_per_worker and (
-                    used.get(worker_id, 0) >= step.max_per_worker
+                if step.most_per_worker and (
+                    used.get(worker_id, 0) >= step.most_per_worker
                 ):
                     continue
                 needed = self._free_on(unit, worker_id, free[worker_id], victims)
--- a/src/firladder/_internal/engine/reports.py
+++ b/src/firladder/_internal/engine/reports.py
@@ -69,7 +69,7 @@
                     continue
                 if not is_stalled(placement, now, longer_than=STALL_S):
                     continue
-                if unit.step.long_running or not unit.working:
+                if unit.step.lasting or not unit.working:
                     continue
                 if waits_for_members(unit, placement):
                     continue
--- a/src/firladder/_internal/engine/runs.py
+++ b/src/firladder/_internal/engine/runs.py
@@ -328,7 +328,7 @@
         only with its run's room would be forgotten with either, and the task be
         started beyond its attempts.
         """
-        if unit is None or unit.step.long_running or unit.state is UnitState.DONE:
+        if unit is None or unit.step.lasting or unit.state is UnitState.DONE:
             return
         if run in unit.failed_runs:
             return
--- a/src/firladder/_internal/engine/shortages.py
+++ b/src/firladder/_internal/engine/shortages.py
@@ -56,7 +56,7 @@
         A step that is bound to a label, a rack or a number of tasks a worker, or a unit
         that avoids workers, may have failed for that reason alone: it tells nothing.
         """
-        bound = bool(step.label or step.rack or step.max_per_worker)
+        bound = bool(step.label or step.rack or step.most_per_worker)
         if not bound and not avoids:
             self._failed.setdefault(wish.pool, []).append(wish)
 
--- a/src/firladder/_internal/models/workload.py
+++ b/src/firladder/_internal/models/workload.py
@@ -49,8 +49,8 @@
 class Step:
     """``count`` equal tasks; ``after`` lists the steps that must be done first.
 
-    ``rack`` names the rack that holds the data. ``max_per_worker`` 0 means no
-    limit. ``long_running`` tasks run until the job is cancelled.
+    ``rack`` names the rack that holds the data. ``most_per_worker`` 0 means no
+    limit. ``lasting`` tasks run until the job is cancelled.
     """
 
     count: int
@@ -62,9 +62,9 @@
     one_rack: bool = False
     label: str = ""
     rack: str = ""
-    max_per_worker: int = 0
+    most_per_worker: int = 0
     copies_allowed: bool = False
-    long_running: bool = False
+    lasting: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/firladder/_internal/platform/submissions.py
+++ b/src/firladder/_internal/platform/submissions.py
@@ -91,7 +91,7 @@
         one_rack=wire.same_rack,
         label=wire.required_label,
         rack=wire.affinity,
-        max_per_worker=wire.max_per_server,
+        most_per_worker=wire.max_per_server,
         copies_allowed=wire.allow_duplicates,
-        long_running=wire.long_running,
+        lasting=wire.long_running,
     )
