--- a/features/steps/engine_attempts_steps.py
+++ b/features/steps/engine_attempts_steps.py
@@ -73,9 +73,9 @@
 def lapse(context):
     gang = context.gang
     worker = gang.core.workers[gang.members[0].worker_id]
-    gang.core.note_unreachable(worker, gang.now)
+    gang.core.mark_unreachable(worker, gang.now)
     gang.now += 2 * HOLD_S
-    gang.core.check_lapses(gang.now)
+    gang.core.expire_runs(gang.now)
     gang.list_end(1, "broken")
     gang.make_durable()
     assert gang.unit.state is UnitState.WAITING
--- a/features/steps/engine_gang_start_steps.py
+++ b/features/steps/engine_gang_start_steps.py
@@ -19,7 +19,7 @@
     engine = context.engine
     engine.now += 0.35
     lost = SentUnanswered(reason="no answer")
-    engine.core.read_start(context.members[2], lost, engine.now)
+    engine.core.handle_start_answer(context.members[2], lost, engine.now)
 
 
 @when("a look does not list the third, nor any end of it")
@@ -40,7 +40,7 @@
 def check_again(context, seconds):
     engine = context.engine
     for member in context.members:
-        engine.core.read_stop(member, engine.now, engine.now)
+        engine.core.handle_stop_answer(member, engine.now, engine.now)
     engine.now += seconds / 2
     for member in context.members:
         engine.report(engine.core.workers[member.worker_id])
@@ -53,7 +53,7 @@
 @when("it is proved over, and the leader is succeeded before the others are")
 def succeed(context):
     engine, third = context.engine, context.members[2]
-    engine.core.read_stop(third, engine.now, engine.now)
+    engine.core.handle_stop_answer(third, engine.now, engine.now)
     engine.now += 0.01
     engine.report(engine.core.workers[third.worker_id])
     engine.make_durable()
--- a/features/steps/engine_lost_orders_steps.py
+++ b/features/steps/engine_lost_orders_steps.py
@@ -36,14 +36,14 @@
 def lose(context, lost):
     engine, placement = context.engine, context.placement
     engine.now += ORDER_TIMEOUT_S
-    engine.core.read_start(placement, LOST, engine.now)
+    engine.core.handle_start_answer(placement, LOST, engine.now)
     for _ in range(lost):
         wait_for_stop(engine)
         engine.now += ORDER_TIMEOUT_S
-        engine.core.read_stop(placement, LOST, engine.now)
+        engine.core.handle_stop_answer(placement, LOST, engine.now)
     wait_for_stop(engine)
     engine.now += ANSWER_S
-    engine.core.read_stop(placement, engine.now, engine.now)
+    engine.core.handle_stop_answer(placement, engine.now, engine.now)
     sent_at = engine.now + ANSWER_S
     engine.now += 2 * ANSWER_S
     worker = engine.core.workers[placement.worker_id]
@@ -69,7 +69,7 @@
     engine, placement = context.engine, context.placement
     engine.now += ORDER_TIMEOUT_S
     placement.may_begin_late = True
-    engine.core.read_start(placement, REPETITIONS[answer], engine.now)
+    engine.core.handle_start_answer(placement, REPETITIONS[answer], engine.now)
 
 
 @then("the task is not ordered again before its stop is answered and it is not listed")
@@ -80,7 +80,7 @@
     engine.now += ANSWER_S
     engine.report(worker)
     assert engine.start_all() == []
-    engine.core.read_stop(placement, engine.now, engine.now)
+    engine.core.handle_stop_answer(placement, engine.now, engine.now)
     engine.now += ANSWER_S
     engine.report(worker)
     engine.make_durable()
--- a/features/steps/engine_policy_steps.py
+++ b/features/steps/engine_policy_steps.py
@@ -240,7 +240,7 @@
     engine = context.engine
     worker = engine.core.workers[engine.find_placement("leaving").worker_id]
     entry = dataclasses.replace(worker.entry, draining=True, leaves_in_s=seconds)
-    engine.core.see_worker(entry, now=engine.now)
+    engine.core.register_worker(entry, now=engine.now)
     engine.planner.evacuate(engine.now)
 
 
--- a/features/steps/engine_runs_steps.py
+++ b/features/steps/engine_runs_steps.py
@@ -80,7 +80,9 @@
 def lose_answer(context, name):
     engine = context.engine
     placement = engine.find_placement(name)
-    engine.core.read_start(placement, SentUnanswered(reason="lost"), engine.now)
+    engine.core.handle_start_answer(
+        placement, SentUnanswered(reason="lost"), engine.now
+    )
     context.placement = placement
 
 
@@ -112,7 +114,7 @@
 @when('the stop of "{name}" is answered and a later look does not list it')
 def look_late(context, name):
     engine = context.engine
-    engine.core.read_stop(context.placement, engine.now, engine.now)
+    engine.core.handle_stop_answer(context.placement, engine.now, engine.now)
     engine.now += 0.1
     engine.report(engine.core.workers[context.placement.worker_id])
 
@@ -131,8 +133,8 @@
         began = context.began = engine.now
         placement = context.started[0]
         worker = engine.core.workers[placement.worker_id]
-        engine.core.note_unreachable(worker, engine.now)
-    engine.core.check_lapses(began + seconds)
+        engine.core.mark_unreachable(worker, engine.now)
+    engine.core.expire_runs(began + seconds)
 
 
 @when("a successor loads what was durable at second {second:d}")
@@ -146,8 +148,8 @@
 def lose_reach_again(context, seconds):
     engine = context.engine
     placement = engine.find_placement("a")
-    engine.core.note_unreachable(engine.core.workers[placement.worker_id], engine.now)
-    engine.core.check_lapses(engine.now + seconds)
+    engine.core.mark_unreachable(engine.core.workers[placement.worker_id], engine.now)
+    engine.core.expire_runs(engine.now + seconds)
 
 
 @when("its worker answers again")
@@ -189,9 +191,9 @@
 def reject_member(context, name):
     engine = context.engine
     first, second = context.started
-    engine.core.read_start(second, engine.now, engine.now)
+    engine.core.handle_start_answer(second, engine.now, engine.now)
     rejected = OrderRejected(reason="no room", rejection="no_room")
-    engine.core.read_start(first, rejected, engine.now)
+    engine.core.handle_start_answer(first, rejected, engine.now)
     context.placement = second
 
 
@@ -234,9 +236,9 @@
 def lapse_entry(context):
     engine, placement = context.engine, context.placement
     worker = engine.core.workers[placement.worker_id]
-    engine.core.unlist_worker(worker.worker_id)
-    engine.core.check_lapses(engine.now)
-    again = engine.core.see_worker(worker.entry, now=engine.now)
+    engine.core.unregister_worker(worker.worker_id)
+    engine.core.expire_runs(engine.now)
+    again = engine.core.register_worker(worker.entry, now=engine.now)
     engine.now += 0.01
     end = EndedTask(1, placement.task, placement.run, "done", "")
     engine.report(again, [], [end])
--- a/features/steps/engine_stalls_steps.py
+++ b/features/steps/engine_stalls_steps.py
@@ -31,7 +31,7 @@
             if p.task.job_id in percents
         ]
         world.report(worker, rows)
-    world.core.give_up_stalled(world.now)
+    world.core.abort_stalled_runs(world.now)
 
 
 def go_on(context, seconds, percents):
@@ -62,7 +62,7 @@
     for number in range(len(world.entries), last + 1):
         entry = make_entry(number)
         world.entries.append(entry)
-        world.claim(world.core.see_worker(entry, now=world.now))
+        world.claim(world.core.register_worker(entry, now=world.now))
 
 
 @given('workers 0 to 2 at work on a gang "{name}" of 3, {saving}, since 0 s')
--- a/features/steps/protocol_model_steps.py
+++ b/features/steps/protocol_model_steps.py
@@ -316,7 +316,7 @@
     async def lose_start(self):
         world, (placement,) = self.start(accept=False)
         lost = SentUnanswered(reason="lost")
-        world.core.read_start(placement, lost, world.now)
+        world.core.handle_start_answer(placement, lost, world.now)
         world.report(world.core.workers[placement.worker_id])
         assert world.plan() == 0, "planned again before the stop was answered"
 
--- a/features/support/engine_chaos.py
+++ b/features/support/engine_chaos.py
@@ -86,7 +86,7 @@
 
     def advance(self) -> None:
         self.world.now += self.rng.choice([0.02, 0.1, 0.5, 1.0])
-        self.world.core.check_lapses(self.world.now)
+        self.world.core.expire_runs(self.world.now)
 
     def plan(self) -> None:
         world = self.world
@@ -104,7 +104,9 @@
         if worker is None:
             return
         if not worker.may_be_granted:
-            world.core.read_start(placement, NotSent(reason="out of reach"), world.now)
+            world.core.handle_start_answer(
+                placement, NotSent(reason="out of reach"), world.now
+            )
             return
         order = world.core.describe_start(placement)
         until = world.now + HOLD_S
@@ -119,13 +121,13 @@
             )
         elif isinstance(answer, NotSent) and not placement.may_begin_late:
             leases.note_grant_dropped(worker, grant)
-        world.core.read_start(placement, answer, world.now)
+        world.core.handle_start_answer(placement, answer, world.now)
 
     def send_stop(self, placement) -> None:
         order = self.world.core.describe_stop(placement)
         if order is not None:
             answer = self.deliver(placement, order, 0.0, stop=True)
-            self.world.core.read_stop(placement, answer, self.world.now)
+            self.world.core.handle_stop_answer(placement, answer, self.world.now)
 
     def deliver(self, placement, order, until, *, stop):
         name = placement.worker_id
@@ -221,7 +223,7 @@
             world.core.lose_worker(worker.worker_id, "replaced")
             return
         if worker.worker_id in self.cut:
-            world.core.note_unreachable(worker, world.now)
+            world.core.mark_unreachable(worker, world.now)
             return
         until = None
         if worker.may_be_granted and leases.needs_renewal(
@@ -241,7 +243,7 @@
             return
         self.check_noted(sim)
         worker.forget_acknowledged(seen)
-        world.core.read_report(worker, report, sent_at=sent_at, now=world.now)
+        world.core.handle_report(worker, report, sent_at=sent_at, now=world.now)
 
     def check_noted(self, sim) -> None:
         """Compare the ends that were acknowledged with what was started again.
@@ -314,7 +316,7 @@
         del self.sims[old.worker_id]
         self.cut.discard(old.worker_id)
         self.sims[entry.worker_id] = SimulatedWorker(entry)
-        world.core.see_worker(entry, now=world.now)
+        world.core.register_worker(entry, now=world.now)
 
     def check_room(self) -> None:
         for sim in self.sims.values():
--- a/features/support/engine_world.py
+++ b/features/support/engine_world.py
@@ -71,7 +71,7 @@
         self.accepted: dict[str, AcceptedJob] = {}
         self.ends: dict[str, itertools.count] = {}
         for entry in self.entries:
-            self.claim(self.core.see_worker(entry, now=self.now))
+            self.claim(self.core.register_worker(entry, now=self.now))
 
     def make_core(self) -> Core:
         core = Core(hold_s=HOLD_S)
@@ -84,7 +84,7 @@
     def report(self, worker: Worker, running=(), ended=(), *, sent_at=None) -> None:
         report = WorkerReport(self.now, tuple(running), tuple(ended))
         sent_at = self.now if sent_at is None else sent_at
-        self.core.read_report(worker, report, sent_at=sent_at, now=self.now)
+        self.core.handle_report(worker, report, sent_at=sent_at, now=self.now)
 
     def submit(self, job: AcceptedJob) -> None:
         self.accepted[job.job_id] = job
@@ -105,7 +105,7 @@
 
     def accept(self, placements) -> None:
         for placement in placements:
-            self.core.read_start(placement, self.now, self.now)
+            self.core.handle_start_answer(placement, self.now, self.now)
 
     def find_unit(self, job_id: str):
         return self.core.jobs[job_id].units[0]
@@ -130,11 +130,11 @@
         self.core = self.make_core()
         self.planner = Planner(self.core, reclaim_s=2.7, restart_s=0.3)
         for entry in self.entries:
-            self.core.see_worker(entry, now=self.now)
+            self.core.register_worker(entry, now=self.now)
         recorded = {i: decode_progress(value) for i, value in self.stored.items()}
         for job_id, accepted in self.accepted.items():
             self.core.add_job(accepted, recorded.get(job_id))
-        self.core.inherit_lapses(recorded, now=self.now, wall=self.now)
+        self.core.restore_expiries(recorded, now=self.now, wall=self.now)
 
 
 class SimulatedWorker:
--- a/features/support/fake_workers.py
+++ b/features/support/fake_workers.py
@@ -186,7 +186,7 @@
             await asyncio.sleep(0.004)
             self._changed.clear()
             engine.now = self.clock.read_monotonic()
-            self.core.check_lapses(engine.now)
+            self.core.expire_runs(engine.now)
             for placement in engine.start_all():
                 self.attendants[placement.worker_id].order(placement, start=True)
             for placement in self.core.take_stops(engine.now):
--- a/src/firladder/_internal/engine/answers.py
+++ b/src/firladder/_internal/engine/answers.py
@@ -22,7 +22,7 @@
 class Answers(Runs):
     """Takes the answers of workers to starts and stops."""
 
-    def read_start(
+    def handle_start_answer(
         self, placement: Placement, answer: float | OrderFailure, now: float
     ) -> None:
         """Take the answer to a start."""
@@ -40,7 +40,7 @@
             self.lose_worker(worker.worker_id, answer.reason)
             return
         if isinstance(answer, SentUnanswered | FencedOff):
-            self.note_unreachable(worker, now)
+            self.mark_unreachable(worker, now)
             if placement.phase is Phase.SENT:
                 self._end_run_of(placement)
             return
@@ -61,12 +61,12 @@
         if isinstance(answer, OrderRejected) and answer.rejection == "no_room":
             worker.full_until = now + FULL_S
         elif isinstance(answer, NotSent):
-            self.note_unreachable(worker, now)
+            self.mark_unreachable(worker, now)
         elif isinstance(answer, WorkerRefused) and unit is not None:
             worker.full_until = now + FULL_S
             blame_worker(worker, unit.job.accepted.job_id, now)
 
-    def read_stop(
+    def handle_stop_answer(
         self, placement: Placement, answer: float | OrderFailure, now: float
     ) -> None:
         """Take the answer to a stop."""
@@ -82,4 +82,4 @@
             placement.stop_answered = True
             placement.settled_at = now
         else:
-            self.note_unreachable(worker, now)
+            self.mark_unreachable(worker, now)
--- a/src/firladder/_internal/engine/core.py
+++ b/src/firladder/_internal/engine/core.py
@@ -39,7 +39,7 @@
                         unit.step.need,
                         frozenset(),
                     )
-                    worker = Worker(entry, listed=False)
+                    worker = Worker(entry, registered=False)
                     self.workers[placement.worker_id] = worker
                 worker.placements[placement.key] = placement
             if unit.lacks_members:
@@ -49,7 +49,7 @@
         if job.terminal:
             self._stop_all(job)
 
-    def inherit_lapses(
+    def restore_expiries(
         self, recorded: Mapping[str, JobProgress], *, now: float, wall: float
     ) -> None:
         """Take over until when the runs of each worker may last.
--- a/src/firladder/_internal/engine/health.py
+++ b/src/firladder/_internal/engine/health.py
@@ -91,6 +91,6 @@
     counts: Counter[str] = Counter()
     held: Counter[str] = Counter()
     for worker in workers:
-        counts[worker.entry.pool] += worker.listed
-        held[worker.entry.pool] += worker.listed and now < worker.quarantined_until
+        counts[worker.entry.pool] += worker.registered
+        held[worker.entry.pool] += worker.registered and now < worker.quarantined_until
     return {pool for pool in counts if held[pool] > MOST_QUARANTINED * counts[pool]}
--- a/src/firladder/_internal/engine/idleness.py
+++ b/src/firladder/_internal/engine/idleness.py
@@ -28,7 +28,7 @@
     capacity: dict[str, Resources] = {}
     free: dict[str, Resources] = {}
     for worker in workers:
-        if not worker.listed:
+        if not worker.registered:
             continue
         pool = worker.entry.pool
         capacity[pool] = capacity.get(pool, Resources()) + worker.entry.capacity
--- a/src/firladder/_internal/engine/planning.py
+++ b/src/firladder/_internal/engine/planning.py
@@ -160,7 +160,7 @@
     def _is_usable(self, worker: Worker, now: float) -> bool:
         return (
             worker.claimed
-            and worker.listed
+            and worker.registered
             and worker.may_be_granted
             and not worker.entry.draining
             and not self._core.is_evacuated(worker)
--- a/src/firladder/_internal/engine/reports.py
+++ b/src/firladder/_internal/engine/reports.py
@@ -19,30 +19,30 @@
 class Reports(Answers):
     """Compares what workers report with the runs that they were given."""
 
-    def see_worker(self, entry: WorkerEntry, *, now: float) -> Worker:
+    def register_worker(self, entry: WorkerEntry, *, now: float) -> Worker:
         """Take a worker's newest entry."""
         worker = self.workers.get(entry.worker_id)
         if worker is None:
             worker = self.workers[entry.worker_id] = Worker(entry)
         else:
             worker.entry = entry
-            worker.listed = True
+            worker.registered = True
         worker.entry_seen_at = now
         for other in list(self.workers.values()):
             reborn = other.entry.address == entry.address
-            if reborn and other is not worker and not other.listed:
+            if reborn and other is not worker and not other.registered:
                 self.lose_worker(other.worker_id, "address taken by another worker")
         return worker
 
-    def unlist_worker(self, worker_id: str) -> None:
+    def unregister_worker(self, worker_id: str) -> None:
         """Note that a worker's entry is gone; what runs there may still run."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
-        worker.listed = False
+        worker.registered = False
         self._forget_if_over(worker)
 
-    def check_lapses(self, now: float) -> None:
+    def expire_runs(self, now: float) -> None:
         """Give up runs whose leases have ended while nobody could reach them."""
         for worker in list(self.workers.values()):
             self._forget_if_over(worker)
@@ -58,7 +58,7 @@
                 self._resolve(worker, placement, None)
             self._forget_if_over(worker)
 
-    def give_up_stalled(self, now: float) -> None:
+    def abort_stalled_runs(self, now: float) -> None:
         """End runs that stand still, so that they go on elsewhere."""
         for worker in list(self.workers.values()):
             for placement in list(worker.placements.values()):
@@ -92,7 +92,7 @@
             worker.reachable = True
             worker.barrier = [(j, j.version) for j in self._touch_jobs(worker)]
 
-    def read_report(
+    def handle_report(
         self, worker: Worker, report: WorkerReport, *, sent_at: float, now: float
     ) -> None:
         """Take what a worker says of its runs; the look left at ``sent_at``."""
@@ -103,14 +103,14 @@
             if end.number > worker.last_read:
                 worker.last_read = end.number
                 self._read_end(worker, end, now)
-        listed = {(row.task, row.run) for row in report.running}
+        registered = {(row.task, row.run) for row in report.running}
         for row in report.running:
             placement = worker.placements.get((row.task, row.run))
             if placement is None:
                 placement = self._adopt_stray(worker, row.task, row.run)
             self._read_running(placement, row.checkpoint, row.percent, now)
         for placement in list(worker.placements.values()):
-            if placement.key not in listed and placement.settled_at < sent_at:
+            if placement.key not in registered and placement.settled_at < sent_at:
                 self._resolve_absent(worker, placement)
 
     def _read_running(
--- a/src/firladder/_internal/engine/runs.py
+++ b/src/firladder/_internal/engine/runs.py
@@ -62,7 +62,7 @@
         for placement in list(worker.placements.values()):
             self._resolve(worker, placement, None)
 
-    def note_unreachable(self, worker: Worker, now: float) -> None:
+    def mark_unreachable(self, worker: Worker, now: float) -> None:
         """Note that a call to a worker got no answer."""
         if worker.reachable:
             worker.reachable = False
@@ -272,7 +272,7 @@
         Ends that were read and are not durable yet are ours: forgotten with their
         worker, they would be acknowledged unstored when it registers again.
         """
-        if worker.listed or worker.placements or worker.unacknowledged:
+        if worker.registered or worker.placements or worker.unacknowledged:
             return
         if self.workers.get(worker.worker_id) is worker:
             del self.workers[worker.worker_id]
--- a/src/firladder/_internal/engine/state.py
+++ b/src/firladder/_internal/engine/state.py
@@ -212,7 +212,7 @@
     """
 
     entry: WorkerEntry
-    listed: bool = True
+    registered: bool = True
     claimed: bool = False
     reachable: bool = True
     unreachable_at: float = 0.0
--- a/src/firladder/_internal/evaluation/day_driver.py
+++ b/src/firladder/_internal/evaluation/day_driver.py
@@ -155,7 +155,7 @@
         self._progress: dict[tuple[int, int], _Run] = {}
         self._pass_due = False
         for entry in day.workers:
-            self.core.see_worker(entry, now=self.now)
+            self.core.register_worker(entry, now=self.now)
             self._report(entry.worker_id)
         for job in day.jobs:
             self._at(START_AT + job.accepted.accepted_at_s, self._make_arrival(job))
@@ -224,7 +224,7 @@
             if worker is None or placement.phase is not Phase.SENT:
                 return
             self._running[placement.worker_id][placement.key] = placement
-            self.core.read_start(placement, self.now, self.now)
+            self.core.handle_start_answer(placement, self.now, self.now)
             unit = placement.unit
             if unit is not None and unit.working:
                 self._begin(unit)
@@ -265,7 +265,7 @@
                 self._count_loss(placement)
                 self._end(placement, "stopped")
             else:
-                self.core.read_stop(placement, self.now, self.now)
+                self.core.handle_stop_answer(placement, self.now, self.now)
                 self._report(placement.worker_id)
             self._want_pass()
 
@@ -310,7 +310,7 @@
             for p in self._running[worker_id].values()
         )
         report = WorkerReport(self.now, rows, ended)
-        self.core.read_report(worker, report, sent_at=self.now, now=self.now)
+        self.core.handle_report(worker, report, sent_at=self.now, now=self.now)
 
     def _find_percent(self, placement: Placement) -> int:
         run = self._progress.get((id(placement.unit), placement.run))
--- a/src/firladder/_internal/node/attendant.py
+++ b/src/firladder/_internal/node/attendant.py
@@ -180,7 +180,7 @@
                     worker, grant, sent_at=sent_at, now=now, hold_s=hold_s
                 )
             worker.forget_acknowledged(seen)
-            self._core.read_report(worker, answer, sent_at=sent_at, now=now)
+            self._core.handle_report(worker, answer, sent_at=sent_at, now=now)
             owner.note_change()
             return True
         if grant and isinstance(answer, NotSent | WorkerRefused | OrderRejected):
@@ -247,7 +247,7 @@
                     "worker unreachable",
                     extra={"worker": worker.worker_id, "reason": answer.reason},
                 )
-            self._core.note_unreachable(worker, now)
+            self._core.mark_unreachable(worker, now)
         self._owner.note_change()
 
     async def carry_orders(self) -> None:
@@ -279,7 +279,7 @@
         if deadline_s is None or not worker.may_be_granted:
             # Sent into a cut, its lease might arrive late and nobody could tell.
             dropped = NotSent(reason="the worker is out of reach")
-            self._core.read_start(placement, dropped, sent_at)
+            self._core.handle_start_answer(placement, dropped, sent_at)
             return
         grant = leases.note_grant_sent(worker, now=sent_at, hold_s=hold_s)
         for _ in range(START_TRIES):
@@ -303,7 +303,7 @@
             owner.step_down("a worker knows a higher fencing token")
             return
         if not shown:
-            self._core.read_start(placement, answer, now)
+            self._core.handle_start_answer(placement, answer, now)
 
     async def _await_reach(self) -> None:
         """Wait until a lease may be granted, if a call was lost only just now.
@@ -354,7 +354,7 @@
         if isinstance(answer, FencedOff):
             owner.step_down("a worker knows a higher fencing token")
             return
-        self._core.read_stop(placement, answer, now)
+        self._core.handle_stop_answer(placement, answer, now)
 
     def _note_answer(
         self, order: Order, answer: float | OrderFailure, *, sent_at: float, now: float
--- a/src/firladder/_internal/node/term.py
+++ b/src/firladder/_internal/node/term.py
@@ -213,7 +213,7 @@
             recorded[job_id] = found
         for item in intake.items:
             self._take_intake(item.key, item.value, recorded)
-        self.core.inherit_lapses(
+        self.core.restore_expiries(
             recorded, now=self.clock.read_monotonic(), wall=self.clock.read_wall()
         )
         for worker in self.core.workers.values():
@@ -297,10 +297,10 @@
         self.note_change()
 
     def _take_workers(self, listing: Listing) -> None:
-        listed = {item.key for item in listing.items}
+        registered = {item.key for item in listing.items}
         for worker in list(self.core.workers.values()):
-            if worker.listed and WORKER_PREFIX + worker.worker_id not in listed:
-                self.core.unlist_worker(worker.worker_id)
+            if worker.registered and WORKER_PREFIX + worker.worker_id not in registered:
+                self.core.unregister_worker(worker.worker_id)
         for item in listing.items:
             self._take_worker(item.key, item.value, item.revision)
         self.note_change()
@@ -308,7 +308,7 @@
     def _change_worker(self, change: Change) -> None:
         if change.value is None:
             self._known_entries.pop(change.key, None)
-            self.core.unlist_worker(change.key.removeprefix(WORKER_PREFIX))
+            self.core.unregister_worker(change.key.removeprefix(WORKER_PREFIX))
         else:
             self._take_worker(change.key, change.value, change.revision)
         self.note_change()
@@ -329,7 +329,7 @@
                 worker=entry.worker_id,
                 leaves_in_s=entry.leaves_in_s,
             )
-        worker = self.core.see_worker(entry, now=self.clock.read_monotonic())
+        worker = self.core.register_worker(entry, now=self.clock.read_monotonic())
         if self.ready:
             self._attend(worker)
 
@@ -382,8 +382,8 @@
         while True:
             await asyncio.sleep(TICK_S)
             now = self.clock.read_monotonic()
-            self.core.check_lapses(now)
-            self.core.give_up_stalled(now)
+            self.core.expire_runs(now)
+            self.core.abort_stalled_runs(now)
             self._planner.evacuate(now)
             for attendant in list(self._attendants.values()):
                 attendant.wake()
