--- a/features/steps/engine_runs_steps.py
+++ b/features/steps/engine_runs_steps.py
@@ -54,9 +54,9 @@
     engine = context.engine
     for placement in context.started:
         worker = engine.core.workers[placement.worker_id]
-        grant = leases.note_grant_sent(worker, now=engine.now, hold_s=10.0)
-        leases.note_grant_answered(
-            worker, grant, sent_at=engine.now, now=engine.now, hold_s=10.0
+        grant = leases.record_grant_sent(worker, now=engine.now, lease_s=10.0)
+        leases.record_grant_answered(
+            worker, grant, sent_at=engine.now, now=engine.now, lease_s=10.0
         )
     engine.accept(context.started)
 
@@ -162,12 +162,12 @@
 
 @then("no lease may be sent to it")
 def check_not_granted(context):
-    assert not context.worker.may_be_granted
+    assert not context.worker.may_send_lease
 
 
 @then("a lease may be sent to it")
 def check_granted(context):
-    assert context.worker.may_be_granted
+    assert context.worker.may_send_lease
 
 
 @then('"{name}" is still at work as far as the engine knows')
--- a/features/support/engine_chaos.py
+++ b/features/support/engine_chaos.py
@@ -103,24 +103,24 @@
         worker = world.core.workers.get(placement.worker_id)
         if worker is None:
             return
-        if not worker.may_be_granted:
+        if not worker.may_send_lease:
             world.core.handle_start_answer(
                 placement, NotSent(reason="out of reach"), world.now
             )
             return
         order = world.core.describe_start(placement)
         until = world.now + HOLD_S
-        grant = leases.note_grant_sent(worker, now=world.now, hold_s=HOLD_S)
+        grant = leases.record_grant_sent(worker, now=world.now, lease_s=HOLD_S)
         answer: object = self.deliver(placement, order, until, stop=False)
         while isinstance(answer, SentUnanswered) and self.rng.random() < 0.7:
             placement.may_begin_late = True
             answer = self.deliver(placement, order, until, stop=False)
         if isinstance(answer, float | OrderRejected):
-            leases.note_grant_answered(
-                worker, grant, sent_at=world.now, now=world.now, hold_s=HOLD_S
+            leases.record_grant_answered(
+                worker, grant, sent_at=world.now, now=world.now, lease_s=HOLD_S
             )
         elif isinstance(answer, NotSent) and not placement.may_begin_late:
-            leases.note_grant_dropped(worker, grant)
+            leases.record_grant_dropped(worker, grant)
         world.core.handle_start_answer(placement, answer, world.now)
 
     def send_stop(self, placement) -> None:
@@ -226,13 +226,13 @@
             world.core.mark_unreachable(worker, world.now)
             return
         until = None
-        if worker.may_be_granted and leases.needs_renewal(
-            worker, now=world.now, hold_s=HOLD_S
+        if worker.may_send_lease and leases.needs_renewal(
+            worker, now=world.now, lease_s=HOLD_S
         ):
             until = world.now + HOLD_S
-            grant = leases.note_grant_sent(worker, now=world.now, hold_s=HOLD_S)
-            leases.note_grant_answered(
-                worker, grant, sent_at=world.now, now=world.now, hold_s=HOLD_S
+            grant = leases.record_grant_sent(worker, now=world.now, lease_s=HOLD_S)
+            leases.record_grant_answered(
+                worker, grant, sent_at=world.now, now=world.now, lease_s=HOLD_S
             )
         seen = worker.count_durable_ends()
         report = sim.look(self.token, seen, until, world.now)
--- a/features/support/engine_world.py
+++ b/features/support/engine_world.py
@@ -74,7 +74,7 @@
             self.claim(self.core.register_worker(entry, now=self.now))
 
     def make_core(self) -> Core:
-        core = Core(hold_s=HOLD_S)
+        core = Core(lease_s=HOLD_S)
         core.configuration = QueueConfiguration(1, QUEUES)
         return core
 
--- a/src/firladder/_internal/engine/core.py
+++ b/src/firladder/_internal/engine/core.py
@@ -59,7 +59,7 @@
         longest that the earlier leader can have granted, which may keep a task
         waiting for a long while with all workers idle.
         """
-        unknown = estimate_inherited_lapse(now=now, hold_s=self.hold_s)
+        unknown = estimate_inherited_lapse(now=now, lease_s=self.lease_s)
         for worker in self.workers.values():
             jobs = {p.task.job_id for p in worker.placements.values()}
             known = [
--- a/src/firladder/_internal/engine/leases.py
+++ b/src/firladder/_internal/engine/leases.py
@@ -10,7 +10,7 @@
 """Seconds after which an order without an answer may still be carried out; seen
 up to 12 s."""
 
-BLIND_S = 5.0
+STORE_OUTAGE_GRACE_S = 5.0
 """Seconds for which a leader that the store does not answer goes on renewing
 what already runs. Outages of the store are about as long; without it each one
 would end all work. A successor waits this much longer for lost workers."""
@@ -30,53 +30,53 @@
 for ten seconds."""
 
 
-def choose_hold(worker: Worker, *, hold_s: float) -> float:
+def choose_lease_s(worker: Worker, *, lease_s: float) -> float:
     """Return for how long a lease is granted."""
-    return min(hold_s, DRAINING_HOLD_S) if worker.entry.draining else hold_s
+    return min(lease_s, DRAINING_HOLD_S) if worker.entry.draining else lease_s
 
 
-def choose_deadline(worker: Worker, *, now: float, hold_s: float) -> float | None:
+def choose_deadline(worker: Worker, *, now: float, lease_s: float) -> float | None:
     """Return the worker's own time at which a lease granted now ends."""
     if worker.clock_ahead_s is None:
         return None
-    return now + worker.clock_ahead_s + hold_s
+    return now + worker.clock_ahead_s + lease_s
 
 
-def needs_renewal(worker: Worker, *, now: float, hold_s: float) -> bool:
+def needs_renewal(worker: Worker, *, now: float, lease_s: float) -> bool:
     """Tell whether the lease of what runs on a worker shall be renewed now."""
     if not worker.placements:
         return False
-    return worker.renewed_until - now < hold_s * (1 - RENEW_AHEAD)
+    return worker.renewed_until - now < lease_s * (1 - RENEW_AHEAD)
 
 
-def note_grant_sent(worker: Worker, *, now: float, hold_s: float) -> int:
+def record_grant_sent(worker: Worker, *, now: float, lease_s: float) -> int:
     """Note a lease on its way, which may arrive very late; return its number."""
     worker.grants_sent += 1
-    worker.open_grants[worker.grants_sent] = now + LATE_ORDER_S + hold_s * CLOCK_DRIFT
+    worker.open_grants[worker.grants_sent] = now + LATE_ORDER_S + lease_s * CLOCK_DRIFT
     return worker.grants_sent
 
 
-def note_grant_answered(
-    worker: Worker, number: int, *, sent_at: float, now: float, hold_s: float
+def record_grant_answered(
+    worker: Worker, number: int, *, sent_at: float, now: float, lease_s: float
 ) -> None:
     """Note that a lease has arrived: it cannot arrive once more."""
     worker.open_grants.pop(number, None)
-    worker.renewed_until = max(worker.renewed_until, sent_at + hold_s)
-    worker.granted_until = max(worker.granted_until, now + hold_s * CLOCK_DRIFT)
+    worker.renewed_until = max(worker.renewed_until, sent_at + lease_s)
+    worker.granted_until = max(worker.granted_until, now + lease_s * CLOCK_DRIFT)
 
 
-def note_grant_dropped(worker: Worker, number: int) -> None:
+def record_grant_dropped(worker: Worker, number: int) -> None:
     """Note that a lease has certainly not arrived and never will."""
     worker.open_grants.pop(number, None)
 
 
-def estimate_inherited_lapse(*, now: float, hold_s: float) -> float:
+def estimate_inherited_lapse(*, now: float, lease_s: float) -> float:
     """Return when all leases that an earlier leader granted have surely ended.
 
     Leases without an answer make a worker count as out of reach, which is in the
     records; so those that an earlier leader left unrecorded have arrived.
     """
-    return now + BLIND_S + hold_s * CLOCK_DRIFT
+    return now + STORE_OUTAGE_GRACE_S + lease_s * CLOCK_DRIFT
 
 
 def read_recorded_lapse(lapse_wall: float, *, now: float, wall: float) -> float:
--- a/src/firladder/_internal/engine/planning.py
+++ b/src/firladder/_internal/engine/planning.py
@@ -161,7 +161,7 @@
         return (
             worker.claimed
             and worker.registered
-            and worker.may_be_granted
+            and worker.may_send_lease
             and not worker.entry.draining
             and not self._core.is_evacuated(worker)
             and now >= worker.full_until
--- a/src/firladder/_internal/engine/runs.py
+++ b/src/firladder/_internal/engine/runs.py
@@ -34,9 +34,9 @@
 class Runs:
     """The runs of all units on all workers, and the orders that they need."""
 
-    def __init__(self, *, hold_s: float, note: Note = _drop_note) -> None:
-        """Grant leases of ``hold_s`` seconds."""
-        self.hold_s = hold_s
+    def __init__(self, *, lease_s: float, note: Note = _drop_note) -> None:
+        """Grant leases of ``lease_s`` seconds."""
+        self.lease_s = lease_s
         self.jobs: dict[str, Job] = {}
         self.workers: dict[str, Worker] = {}
         self.configuration = QueueConfiguration(0)
--- a/src/firladder/_internal/engine/state.py
+++ b/src/firladder/_internal/engine/state.py
@@ -275,7 +275,7 @@
         return (self.entry.leaves_in_s or 0.0) - (now - self.entry_seen_at)
 
     @property
-    def may_be_granted(self) -> bool:
+    def may_send_lease(self) -> bool:
         """Tell whether a lease may be sent.
 
         While a worker is out of reach, the record says until when its runs may
--- a/src/firladder/_internal/evaluation/day_driver.py
+++ b/src/firladder/_internal/evaluation/day_driver.py
@@ -134,7 +134,7 @@
     def __init__(self, day: Day, planner: type[Planner]) -> None:
         """Prepare; all workers are known and empty."""
         self.now = START_AT + FILLED_AT_S
-        self.core = Core(hold_s=HOLD_S, note=self._note)
+        self.core = Core(lease_s=HOLD_S, note=self._note)
         self.core.configuration = day.configuration
         self.planner = planner(
             self.core, reclaim_s=RECLAIM_S, restart_s=STOP_S + RESTORE_S
@@ -301,9 +301,9 @@
         worker = self.core.workers.get(worker_id)
         if worker is None:
             return
-        grant = leases.note_grant_sent(worker, now=self.now, hold_s=HOLD_S)
-        leases.note_grant_answered(
-            worker, grant, sent_at=self.now, now=self.now, hold_s=HOLD_S
+        grant = leases.record_grant_sent(worker, now=self.now, lease_s=HOLD_S)
+        leases.record_grant_answered(
+            worker, grant, sent_at=self.now, now=self.now, lease_s=HOLD_S
         )
         rows = tuple(
             RunningTask(p.task, p.run, "", self._find_percent(p))
--- a/src/firladder/_internal/node/attendant.py
+++ b/src/firladder/_internal/node/attendant.py
@@ -146,14 +146,16 @@
 
     async def _look(self, *, may_wait: bool = True) -> bool:
         worker, owner = self._worker, self._owner
-        hold_s = leases.choose_hold(worker, hold_s=self._core.hold_s)
+        lease_s = leases.choose_lease_s(worker, lease_s=self._core.lease_s)
         sent_at = owner.clock.read_monotonic()
         deadline_s = None
         grant = 0
-        if owner.may_renew and leases.needs_renewal(worker, now=sent_at, hold_s=hold_s):
-            deadline_s = leases.choose_deadline(worker, now=sent_at, hold_s=hold_s)
-        if deadline_s is not None and worker.may_be_granted:
-            grant = leases.note_grant_sent(worker, now=sent_at, hold_s=hold_s)
+        if owner.may_renew and leases.needs_renewal(
+            worker, now=sent_at, lease_s=lease_s
+        ):
+            deadline_s = leases.choose_deadline(worker, now=sent_at, lease_s=lease_s)
+        if deadline_s is not None and worker.may_send_lease:
+            grant = leases.record_grant_sent(worker, now=sent_at, lease_s=lease_s)
         else:
             # A lease sent into a cut may arrive late, and nobody could tell
             # until when the worker's tasks run. So a worker that does not
@@ -176,15 +178,15 @@
             self._waits_for_end = False
         if isinstance(answer, WorkerReport):
             if grant:
-                leases.note_grant_answered(
-                    worker, grant, sent_at=sent_at, now=now, hold_s=hold_s
+                leases.record_grant_answered(
+                    worker, grant, sent_at=sent_at, now=now, lease_s=lease_s
                 )
             worker.forget_acknowledged(seen)
             self._core.handle_report(worker, answer, sent_at=sent_at, now=now)
             owner.note_change()
             return True
         if grant and isinstance(answer, NotSent | WorkerRefused | OrderRejected):
-            leases.note_grant_dropped(worker, grant)
+            leases.record_grant_dropped(worker, grant)
         self._read_failure(answer, now)
         return False
 
@@ -273,15 +275,15 @@
             return
         if self._gone:
             return
-        hold_s = self._core.hold_s
+        lease_s = self._core.lease_s
         sent_at = owner.clock.read_monotonic()
-        deadline_s = leases.choose_deadline(worker, now=sent_at, hold_s=hold_s)
-        if deadline_s is None or not worker.may_be_granted:
+        deadline_s = leases.choose_deadline(worker, now=sent_at, lease_s=lease_s)
+        if deadline_s is None or not worker.may_send_lease:
             # Sent into a cut, its lease might arrive late and nobody could tell.
             dropped = NotSent(reason="the worker is out of reach")
             self._core.handle_start_answer(placement, dropped, sent_at)
             return
-        grant = leases.note_grant_sent(worker, now=sent_at, hold_s=hold_s)
+        grant = leases.record_grant_sent(worker, now=sent_at, lease_s=lease_s)
         for _ in range(START_TRIES):
             answer = await self._send_start(order, deadline_s)
             if not isinstance(answer, SentUnanswered):
@@ -294,11 +296,11 @@
         if shown or isinstance(answer, float | OrderRejected):
             # A rejected start may still have lengthened the lease. All copies carry
             # the same time, so that a late one does not lengthen it any more.
-            leases.note_grant_answered(
-                worker, grant, sent_at=sent_at, now=now, hold_s=hold_s
+            leases.record_grant_answered(
+                worker, grant, sent_at=sent_at, now=now, lease_s=lease_s
             )
         elif not placement.may_begin_late and not isinstance(answer, SentUnanswered):
-            leases.note_grant_dropped(worker, grant)
+            leases.record_grant_dropped(worker, grant)
         if isinstance(answer, FencedOff):
             owner.step_down("a worker knows a higher fencing token")
             return
@@ -313,7 +315,7 @@
         """
         worker, clock = self._worker, self._owner.clock
         until = worker.unreachable_at + self._owner.answer_timer.timeout_s
-        while not (worker.may_be_granted or self._gone):
+        while not (worker.may_send_lease or self._gone):
             left_s = until - clock.read_monotonic()
             if left_s <= 0:
                 return
--- a/src/firladder/_internal/node/term.py
+++ b/src/firladder/_internal/node/term.py
@@ -7,7 +7,7 @@
 from typing import Any, TypeVar
 
 from ..engine.core import Core
-from ..engine.leases import BLIND_S
+from ..engine.leases import STORE_OUTAGE_GRACE_S
 from ..engine.planning import Planner
 from ..engine.progress import (
     JobProgress,
@@ -77,7 +77,7 @@
         self._load_s = load_s
         self._on_order = on_order
         self.too_slow = False
-        self.core = Core(hold_s=settings.max_hold_s, note=self._note)
+        self.core = Core(lease_s=settings.max_hold_s, note=self._note)
         self.calls = calls
         self.answer_timer = AnswerTimer()
         self.clock = clock
@@ -124,7 +124,10 @@
         Without the store a leader goes on for a while: the outage is likely the
         store's own. A successor reckons with just that while.
         """
-        return self.clock.read_monotonic() < self.leadership.proved_until + BLIND_S
+        return (
+            self.clock.read_monotonic()
+            < self.leadership.proved_until + STORE_OUTAGE_GRACE_S
+        )
 
     def step_down(self, reason: str) -> None:
         """End the term; safe to call again."""
