--- a/features/steps/engine_attempts_steps.py
+++ b/features/steps/engine_attempts_steps.py
@@ -35,14 +35,14 @@
 
     def acknowledge(self) -> None:
         for worker in self.core.workers.values():
-            worker.forget_acknowledged(worker.count_durable_ends())
+            worker.drop_acknowledged_ends(worker.find_last_durable_end())
 
 
 @given("a gang of 2 whole workers with {attempts:d} attempts is at work")
 @given("a gang of 2 whole workers with {attempts:d} attempt is at work")
 def make_gang(context, attempts):
     context.gang = GangWorld(attempts)
-    assert context.gang.unit.working
+    assert context.gang.unit.all_active
 
 
 @when('one member ends "failed", which becomes durable and is acknowledged')
@@ -51,7 +51,7 @@
     gang.list_end(0, "failed")
     gang.make_durable()
     worker = gang.core.workers[gang.members[0].worker_id]
-    assert worker.count_durable_ends() == 1
+    assert worker.find_last_durable_end() == 1
     gang.acknowledge()
 
 
--- a/features/steps/engine_domains_steps.py
+++ b/features/steps/engine_domains_steps.py
@@ -64,7 +64,7 @@
     engine = context.engine
     engine.submit(make_job("first", STEPS["a gang of 8 tasks"][0], at=engine.now))
     engine.accept(engine.start_all())
-    assert engine.find_unit("first").working
+    assert engine.find_unit("first").all_active
 
 
 def find_domains(context, name="last"):
@@ -108,7 +108,7 @@
 @then("the gang is at work")
 def check_at_work(context):
     context.engine.plan()
-    assert context.engine.find_unit("first").working
+    assert context.engine.find_unit("first").all_active
 
 
 @given('an urgent gang of 2 tasks has room made in domain "a"')
--- a/features/steps/engine_evictions_steps.py
+++ b/features/steps/engine_evictions_steps.py
@@ -13,15 +13,15 @@
 def begin(world, name):
     world.submit(make_job(name, GANG, at=world.now))
     world.accept(world.start_all())
-    assert world.find_unit(name).working
+    assert world.find_unit(name).all_active
 
 
 def stop_and_restart(world, name):
-    world.core.evict(world.find_unit(name))
+    world.core.preempt(world.find_unit(name))
     for placement in list(world.find_unit(name).placements.values()):
         world.end(placement, "stopped")
     world.accept(world.start_all())
-    assert world.find_unit(name).working
+    assert world.find_unit(name).all_active
 
 
 def submit_urgent(world):
@@ -31,7 +31,7 @@
 
 
 def list_stopped(world, names):
-    return [name for name in names if not world.find_unit(name).working]
+    return [name for name in names if not world.find_unit(name).all_active]
 
 
 @given('workers 0 to 3, and a gang "patient" of 2 that urgent work has stopped 3 times')
@@ -118,7 +118,7 @@
     while world.now + PASS_S <= context.since + seconds:
         world.now += PASS_S
         world.accept(world.start_all())
-    return world.find_unit(context.stopped[0]).working
+    return world.find_unit(context.stopped[0]).all_active
 
 
 @then("the stopped gang does not begin within {seconds:f} s")
@@ -143,4 +143,4 @@
 
 @then("the urgent job has begun")
 def check_begun(context):
-    assert context.world.find_unit("urgent").working
+    assert context.world.find_unit("urgent").all_active
--- a/features/steps/engine_lost_orders_steps.py
+++ b/features/steps/engine_lost_orders_steps.py
@@ -68,7 +68,7 @@
 def repeat_start(context, answer):
     engine, placement = context.engine, context.placement
     engine.now += ORDER_TIMEOUT_S
-    placement.may_begin_late = True
+    placement.may_start_late = True
     engine.core.handle_start_answer(placement, REPETITIONS[answer], engine.now)
 
 
@@ -90,7 +90,7 @@
 @when("it is given up while its start still waits to be sent")
 def give_up_unsent(context):
     engine, placement = context.engine, context.placement
-    engine.core.evict(placement.unit)
+    engine.core.preempt(placement.unit)
     engine.core.drop_unsent(placement)
 
 
--- a/features/steps/engine_policy_steps.py
+++ b/features/steps/engine_policy_steps.py
@@ -264,7 +264,7 @@
     engine = context.engine
     for worker in list(engine.core.workers.values())[:bad]:
         for number in range(2):
-            health.blame_worker(worker, f"failed-{number}", engine.now)
+            health.record_failure(worker, f"failed-{number}", engine.now)
 
 
 @then("a new job of each worker's size is placed on {used:d} workers")
--- a/features/steps/engine_runs_steps.py
+++ b/features/steps/engine_runs_steps.py
@@ -229,7 +229,7 @@
 def check_unacknowledged(context, name, state):
     check_shown(context, name, state)
     worker = context.engine.core.workers[context.placement.worker_id]
-    assert worker.count_durable_ends() == 0
+    assert worker.find_last_durable_end() == 0
 
 
 @when("its worker's entry lapses and comes back, and the end is listed again")
@@ -248,7 +248,7 @@
 def check_acknowledged(context, name, state):
     check_shown(context, name, state)
     worker = context.engine.core.workers[context.placement.worker_id]
-    assert worker.count_durable_ends() == 1
+    assert worker.find_last_durable_end() == 1
 
 
 @then('"{name}" is shown as "{state}"')
--- a/features/steps/engine_stalls_steps.py
+++ b/features/steps/engine_stalls_steps.py
@@ -111,18 +111,18 @@
 def check_goes_on(context, name):
     unit = context.world.find_unit(name)
     assert unit.run == 1
-    assert unit.working, [p.phase for p in unit.placements.values()]
+    assert unit.all_active, [p.phase for p in unit.placements.values()]
 
 
 @then('the run of "{name}" is given up')
 def check_given_up(context, name):
-    assert not context.world.find_unit(name).working
+    assert not context.world.find_unit(name).all_active
 
 
 @then("no worker is quarantined")
 def check_sound(context):
     workers = context.world.core.workers.values()
-    assert not any(w.blamed_by or w.quarantined_until for w in workers)
+    assert not any(w.failed_jobs or w.quarantined_until for w in workers)
 
 
 @then("workers 0 to 2 are quarantined")
@@ -158,8 +158,8 @@
 @then('"{stopped}" is stopped and "{kept}" goes on')
 def check_victim(context, stopped, kept):
     world = context.world
-    assert not world.find_unit(stopped).working
-    assert world.find_unit(kept).working
+    assert not world.find_unit(stopped).all_active
+    assert world.find_unit(kept).all_active
 
 
 @when('"{name}" is done after {at:d} s')
--- a/features/steps/protocol_model_steps.py
+++ b/features/steps/protocol_model_steps.py
@@ -334,9 +334,9 @@
         world, (placement,) = self.start()
         world.end(placement, "done")
         worker = world.core.workers[placement.worker_id]
-        assert worker.count_durable_ends() == 0
+        assert worker.find_last_durable_end() == 0
         world.make_durable()
-        assert worker.count_durable_ends() == 1
+        assert worker.find_last_durable_end() == 1
 
     @replay("leader_compared")
     async def write_late(self):
--- a/features/support/engine_chaos.py
+++ b/features/support/engine_chaos.py
@@ -113,13 +113,13 @@
         grant = leases.record_grant_sent(worker, now=world.now, lease_s=HOLD_S)
         answer: object = self.deliver(placement, order, until, stop=False)
         while isinstance(answer, SentUnanswered) and self.rng.random() < 0.7:
-            placement.may_begin_late = True
+            placement.may_start_late = True
             answer = self.deliver(placement, order, until, stop=False)
         if isinstance(answer, float | OrderRejected):
             leases.record_grant_answered(
                 worker, grant, sent_at=world.now, now=world.now, lease_s=HOLD_S
             )
-        elif isinstance(answer, NotSent) and not placement.may_begin_late:
+        elif isinstance(answer, NotSent) and not placement.may_start_late:
             leases.record_grant_dropped(worker, grant)
         world.core.handle_start_answer(placement, answer, world.now)
 
@@ -234,7 +234,7 @@
             leases.record_grant_answered(
                 worker, grant, sent_at=world.now, now=world.now, lease_s=HOLD_S
             )
-        seen = worker.count_durable_ends()
+        seen = worker.find_last_durable_end()
         report = sim.look(self.token, seen, until, world.now)
         sent_at = world.now
         world.now += 0.001
@@ -242,7 +242,7 @@
             self.problems.append("the leader was fenced off")
             return
         self.check_noted(sim)
-        worker.forget_acknowledged(seen)
+        worker.drop_acknowledged_ends(seen)
         world.core.handle_report(worker, report, sent_at=sent_at, now=world.now)
 
     def check_noted(self, sim) -> None:
--- a/src/firladder/_internal/engine/answers.py
+++ b/src/firladder/_internal/engine/answers.py
@@ -11,7 +11,7 @@
     WorkerRefused,
     WorkerReplaced,
 )
-from .health import blame_worker
+from .health import record_failure
 from .runs import Runs
 from .state import Phase, Placement, Worker
 
@@ -45,7 +45,7 @@
                 self._end_run_of(placement)
             return
         self._judge_refusal(worker, placement, answer, now)
-        if not placement.may_begin_late:
+        if not placement.may_start_late:
             self._resolve(worker, placement, None)
         elif placement.phase is Phase.SENT:
             self._end_run_of(placement)
@@ -64,7 +64,7 @@
             self.mark_unreachable(worker, now)
         elif isinstance(answer, WorkerRefused) and unit is not None:
             worker.full_until = now + FULL_S
-            blame_worker(worker, unit.job.accepted.job_id, now)
+            record_failure(worker, unit.job.accepted.job_id, now)
 
     def handle_stop_answer(
         self, placement: Placement, answer: float | OrderFailure, now: float
--- a/src/firladder/_internal/engine/health.py
+++ b/src/firladder/_internal/engine/health.py
@@ -29,13 +29,13 @@
 elsewhere, and the work is better tried than held back."""
 
 
-def blame_worker(worker: Worker, job_id: str, now: float) -> bool:
+def record_failure(worker: Worker, job_id: str, now: float) -> bool:
     """Note a failure on a worker; return whether it is now in quarantine."""
-    worker.blamed_by = {
-        job: at for job, at in worker.blamed_by.items() if now - at < BLAME_KEPT_S
+    worker.failed_jobs = {
+        job: at for job, at in worker.failed_jobs.items() if now - at < BLAME_KEPT_S
     }
-    worker.blamed_by[job_id] = now
-    if len(worker.blamed_by) < BLAMING_JOBS:
+    worker.failed_jobs[job_id] = now
+    if len(worker.failed_jobs) < BLAMING_JOBS:
         return False
     worker.quarantined_until = now + QUARANTINE_S
     return True
@@ -43,7 +43,7 @@
 
 def clear_blame(worker: Worker) -> None:
     """Forget failures after a task has ended well."""
-    worker.blamed_by.clear()
+    worker.failed_jobs.clear()
 
 
 def note_percent(placement: Placement, percent: float, now: float) -> None:
--- a/src/firladder/_internal/engine/planning.py
+++ b/src/firladder/_internal/engine/planning.py
@@ -321,7 +321,7 @@
         """Move work off workers that leave before it can be done."""
         self._estimates.begin_pass()
         for unit in list_leaving(self._core, self._estimates, now):
-            self._core.evict(unit)
+            self._core.preempt(unit)
 
     def _make_room(self, unit: Unit, pool: list[Candidate], now: float) -> bool:
         planner = EvictionPlanner(
@@ -352,7 +352,7 @@
         )
         for victim in found.victims:
             self._estimates.note_change(victim)
-            self._core.evict(victim)
+            self._core.preempt(victim)
             victim.rests_until = now + REST_S
         self._claims.add(unit, Claim(found.workers, now, stopped))
         by_id = {c.worker_id: c for c in pool}
--- a/src/firladder/_internal/engine/reports.py
+++ b/src/firladder/_internal/engine/reports.py
@@ -6,11 +6,11 @@
 from .health import (
     STALL_S,
     WHOLE_PERCENT,
-    blame_worker,
     clear_blame,
     is_stalled,
     measure_patience,
     note_percent,
+    record_failure,
     waits_for_members,
 )
 from .state import Phase, Placement, Unit, UnitState, Worker, find_unit
@@ -69,12 +69,12 @@
                     continue
                 if not is_stalled(placement, now, longer_than=STALL_S):
                     continue
-                if unit.step.lasting or not unit.working:
+                if unit.step.lasting or not unit.all_active:
                     continue
                 if waits_for_members(unit, placement):
                     continue
                 # Also while the run may still go on: nothing else shall begin there.
-                quarantined = blame_worker(worker, unit.job.accepted.job_id, now)
+                quarantined = record_failure(worker, unit.job.accepted.job_id, now)
                 patience_s = measure_patience(unit, placement)
                 if not is_stalled(placement, now, longer_than=patience_s):
                     continue
@@ -167,7 +167,7 @@
                 del worker.placements[placement.key]
             # It may have been read before, and be on its way to the records.
             version = job.version if job is not None else 0
-            worker.unacknowledged.append((end.number, job, version))
+            worker.unacknowledged_ends.append((end.number, job, version))
             return
         unit = placement.unit
         if end.checkpoint and unit.state is UnitState.BUSY:
@@ -175,7 +175,7 @@
         self._judge_end(worker, placement, end.ending, now)
         self._resolve(worker, placement, end.ending)
         version = job.version if job is not None else 0
-        worker.unacknowledged.append((end.number, job, version))
+        worker.unacknowledged_ends.append((end.number, job, version))
 
     def _judge_end(
         self, worker: Worker, placement: Placement, ending: Ending, now: float
@@ -190,7 +190,7 @@
         if ending != "failed":
             return
         unit.avoided.add(worker.worker_id)
-        if blame_worker(worker, unit.job.accepted.job_id, now):
+        if record_failure(worker, unit.job.accepted.job_id, now):
             self.note("worker quarantined", worker=worker.worker_id, cause="failures")
 
     def _learn_runtime(self, unit: Unit, placement: Placement, now: float) -> None:
--- a/src/firladder/_internal/engine/runs.py
+++ b/src/firladder/_internal/engine/runs.py
@@ -103,7 +103,7 @@
             workers=sorted({p.worker_id for p in unit.placements.values()}),
         )
 
-    def evict(self, unit: Unit) -> None:
+    def preempt(self, unit: Unit) -> None:
         """End a unit's run so that its room becomes free; it will run again."""
         self._give_up_run(unit)
 
@@ -124,7 +124,7 @@
         ]
         for unit in withdrawn:
             if unit is not None:
-                self.evict(unit)
+                self.preempt(unit)
 
     def is_evacuated(self, worker: Worker) -> bool:
         """Tell whether a worker gets nothing new because of its failure domain."""
@@ -272,7 +272,7 @@
         Ends that were read and are not durable yet are ours: forgotten with their
         worker, they would be acknowledged unstored when it registers again.
         """
-        if worker.registered or worker.placements or worker.unacknowledged:
+        if worker.registered or worker.placements or worker.unacknowledged_ends:
             return
         if self.workers.get(worker.worker_id) is worker:
             del self.workers[worker.worker_id]
--- a/src/firladder/_internal/engine/speeds.py
+++ b/src/firladder/_internal/engine/speeds.py
@@ -80,7 +80,7 @@
         """Learn from a task that is at work; each is counted once."""
         # A member of a gang that is done waits for the others at a hundred per cent.
         seen = LEAST_PERCENT <= placement.percent < 100
-        if placement.timed and seen and unit.working:
+        if placement.timed and seen and unit.all_active:
             whole_s = (now - unit.active_since) * 100 / placement.percent
             self._learn(unit, placement, whole_s)
 
--- a/src/firladder/_internal/engine/state.py
+++ b/src/firladder/_internal/engine/state.py
@@ -53,7 +53,7 @@
     later and does not list the task proves that it is not there. ``whole`` says that it
     began under this leader and from nothing, so that its times can be learned from;
     ``timed`` that moreover its worker's speed was not read from it yet. ``seen`` says
-    that the worker has shown the run, so that it will list its end; ``may_begin_late``
+    that the worker has shown the run, so that it will list its end; ``may_start_late``
     that a copy of its start had no answer, so that no answer to another copy proves
     that it does not begin.
     """
@@ -73,10 +73,10 @@
     stop_tried_at: float = -math.inf
     stop_answered: bool = False
     seen: bool = False
-    may_begin_late: bool = False
+    may_start_late: bool = False
 
     @property
-    def at_work(self) -> bool:
+    def is_active(self) -> bool:
         """Tell whether the run is known to have begun, and not to be given up."""
         return self.phase is Phase.ACTIVE
 
@@ -126,7 +126,7 @@
         return len(self.failed_runs)
 
     @property
-    def working(self) -> bool:
+    def all_active(self) -> bool:
         """Tell whether all tasks of the unit are at work."""
         return len(self.placements) == len(self.indices) and all(
             p.phase is Phase.ACTIVE for p in self.placements.values()
@@ -224,13 +224,13 @@
     clock_ahead_s: float | None = None
     last_read: int = 0
     last_acknowledged: int = 0
-    unacknowledged: list[tuple[int, "Job | None", int]] = dataclasses.field(
+    unacknowledged_ends: list[tuple[int, "Job | None", int]] = dataclasses.field(
         default_factory=list
     )
     placements: dict[tuple[TaskId, int], Placement] = dataclasses.field(
         default_factory=dict
     )
-    blamed_by: dict[str, float] = dataclasses.field(default_factory=dict)
+    failed_jobs: dict[str, float] = dataclasses.field(default_factory=dict)
     entry_seen_at: float = 0.0
     quarantined_until: float = 0.0
     full_until: float = 0.0
@@ -284,18 +284,18 @@
         self.barrier = [(j, v) for j, v in self.barrier if j.durable < v]
         return self.reachable and not self.barrier
 
-    def count_durable_ends(self) -> int:
+    def find_last_durable_end(self) -> int:
         """Return the highest end up to which all are durable."""
         durable = self.last_acknowledged
-        for number, job, version in self.unacknowledged:
+        for number, job, version in self.unacknowledged_ends:
             if job is not None and job.durable < version:
                 break
             durable = number
         return durable
 
-    def forget_acknowledged(self, number: int) -> None:
+    def drop_acknowledged_ends(self, number: int) -> None:
         """Note that the worker was told to forget its ends up to ``number``."""
         self.last_acknowledged = max(self.last_acknowledged, number)
-        self.unacknowledged = [
-            row for row in self.unacknowledged if row[0] > self.last_acknowledged
+        self.unacknowledged_ends = [
+            row for row in self.unacknowledged_ends if row[0] > self.last_acknowledged
         ]
--- a/src/firladder/_internal/evaluation/day_driver.py
+++ b/src/firladder/_internal/evaluation/day_driver.py
@@ -226,7 +226,7 @@
             self._running[placement.worker_id][placement.key] = placement
             self.core.handle_start_answer(placement, self.now, self.now)
             unit = placement.unit
-            if unit is not None and unit.working:
+            if unit is not None and unit.all_active:
                 self._begin(unit)
 
         return start
@@ -251,7 +251,7 @@
 
     def _make_finish(self, unit: Unit, run: int) -> Callable[[], None]:
         def finish() -> None:
-            if unit.run != run or not unit.working:
+            if unit.run != run or not unit.all_active:
                 return
             for placement in list(unit.placements.values()):
                 self._end(placement, "done")
--- a/src/firladder/_internal/node/attendant.py
+++ b/src/firladder/_internal/node/attendant.py
@@ -109,7 +109,7 @@
         worker = self._worker
         return (
             not worker.claimed
-            or bool(worker.unacknowledged)
+            or bool(worker.unacknowledged_ends)
             or any(p.phase is not Phase.PLANNED for p in worker.placements.values())
         )
 
@@ -132,9 +132,9 @@
 
     async def _await_durable_ends(self) -> None:
         worker = self._worker
-        if not worker.unacknowledged:
+        if not worker.unacknowledged_ends:
             return
-        if worker.count_durable_ends() >= worker.unacknowledged[-1][0]:
+        if worker.find_last_durable_end() >= worker.unacknowledged_ends[-1][0]:
             return
         self._wake.clear()
         try:
@@ -161,7 +161,7 @@
             # until when the worker's tasks run. So a worker that does not
             # answer is looked at, and gets its lease when it does.
             deadline_s = None
-        seen = worker.count_durable_ends()
+        seen = worker.find_last_durable_end()
         wait_s = self._choose_wait() if may_wait and deadline_s is None else 0.0
         if wait_s:
             self._waits_for_end = True
@@ -181,7 +181,7 @@
                 leases.record_grant_answered(
                     worker, grant, sent_at=sent_at, now=now, lease_s=lease_s
                 )
-            worker.forget_acknowledged(seen)
+            worker.drop_acknowledged_ends(seen)
             self._core.handle_report(worker, answer, sent_at=sent_at, now=now)
             owner.note_change()
             return True
@@ -288,18 +288,18 @@
             answer = await self._send_start(order, deadline_s)
             if not isinstance(answer, SentUnanswered):
                 break
-            placement.may_begin_late = True
+            placement.may_start_late = True
             if placement.phase is not Phase.SENT or self._gone:
                 break
         now = owner.clock.read_monotonic()
-        shown = isinstance(answer, SentUnanswered) and placement.at_work
+        shown = isinstance(answer, SentUnanswered) and placement.is_active
         if shown or isinstance(answer, float | OrderRejected):
             # A rejected start may still have lengthened the lease. All copies carry
             # the same time, so that a late one does not lengthen it any more.
             leases.record_grant_answered(
                 worker, grant, sent_at=sent_at, now=now, lease_s=lease_s
             )
-        elif not placement.may_begin_late and not isinstance(answer, SentUnanswered):
+        elif not placement.may_start_late and not isinstance(answer, SentUnanswered):
             leases.record_grant_dropped(worker, grant)
         if isinstance(answer, FencedOff):
             owner.step_down("a worker knows a higher fencing token")
