--- a/features/steps/engine_days_steps.py
+++ b/features/steps/engine_days_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from features.support.engine_world import make_step
-from firladder._internal.engine.estimating import Estimates
+from firladder._internal.engine.estimates import Estimates
 from firladder._internal.engine.planning import Planner
 from firladder._internal.engine.shortages import Shortages
 from firladder._internal.evaluation.day_driver import DayDriver
@@ -133,19 +133,19 @@
 class ForgetfulEstimates(Estimates):
     """Works every time out anew."""
 
-    def estimate_left(self, unit, now):
+    def estimate_remaining(self, unit, now):
         self.begin_pass()
-        return super().estimate_left(unit, now)
+        return super().estimate_remaining(unit, now)
 
-    def estimate_free(self, candidate, now):
+    def estimate_time_to_free(self, candidate, now):
         self.begin_pass()
-        return super().estimate_free(candidate, now)
+        return super().estimate_time_to_free(candidate, now)
 
 
 class ForgetfulShortages(Shortages):
     """Looks at each worker for each wish."""
 
-    def covers(self, wish):
+    def covers(self, demand):
         return False
 
 
--- a/features/steps/engine_stalls_steps.py
+++ b/features/steps/engine_stalls_steps.py
@@ -1,7 +1,7 @@
 from behave import given, then, when
 
 from features.support.engine_world import EngineWorld, make_entry, make_job, make_step
-from firladder._internal.engine.estimating import Estimates
+from firladder._internal.engine.estimates import Estimates
 from firladder._internal.engine.state import Phase, UnitState
 from firladder._internal.models.order import RunningTask
 
--- a/src/firladder/_internal/engine/estimating.py
+++ b/src/firladder/_internal/engine/estimates.py
@@ -36,7 +36,7 @@
         """Return how long a run takes, in seconds."""
         return self._core.estimate_run(unit)
 
-    def estimate_left(self, unit: Unit | None, now: float) -> float:
+    def estimate_remaining(self, unit: Unit | None, now: float) -> float:
         """Return in how many seconds a unit's run is likely to be done."""
         if unit is None:
             return STRAY_LEFT_S
@@ -58,13 +58,16 @@
             return max(0.0, total - elapsed)
         return max(0.2, expected - elapsed)
 
-    def estimate_free(self, candidate: Candidate, now: float) -> float:
+    def estimate_time_to_free(self, candidate: Candidate, now: float) -> float:
         """Return in how many seconds all work on a worker is likely to be done."""
         known = self._free.get(candidate.worker_id)
         if known is None:
             worker = self._core.workers[candidate.worker_id]
             known = self._free[candidate.worker_id] = max(
-                (self.estimate_left(p.unit, now) for p in worker.placements.values()),
+                (
+                    self.estimate_remaining(p.unit, now)
+                    for p in worker.placements.values()
+                ),
                 default=0.0,
             )
         return known
@@ -85,7 +88,7 @@
             if capacity < len(unit.indices):
                 continue
             frees = sorted(
-                ((self.estimate_free(c, now), c) for c in group),
+                ((self.estimate_time_to_free(c, now), c) for c in group),
                 key=lambda row: row[0],
             )
             chosen: list[Candidate] = []
--- a/src/firladder/_internal/engine/evacuation.py
+++ b/src/firladder/_internal/engine/evacuation.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from .core import Core
-from .estimating import Estimates
+from .estimates import Estimates
 from .state import Phase, Unit, UnitState
 
 LAST_MOMENT_S = 0.8
@@ -33,7 +33,7 @@
                 continue
             if unit.state is not UnitState.BUSY:
                 continue
-            if _must_leave(unit, estimates.estimate_left(unit, now), left_s):
+            if _must_leave(unit, estimates.estimate_remaining(unit, now), left_s):
                 core.note(
                     "moved off a draining worker",
                     job=unit.job.accepted.job_id,
--- a/src/firladder/_internal/engine/planning.py
+++ b/src/firladder/_internal/engine/planning.py
@@ -8,7 +8,7 @@
 from ..models.workload import Queue, Resources
 from .claims import Claim, Claims, has_come
 from .core import Core
-from .estimating import Estimates
+from .estimates import Estimates
 from .evacuation import list_leaving
 from .health import find_suspect_pools
 from .idleness import FAR_AFTER_S, LENT_AFTER_S, find_idle_pools, stands_still
@@ -20,7 +20,7 @@
     place_unit,
 )
 from .preemption import ACCELERATOR_CORES, Eviction, EvictionPlanner
-from .shortages import ANY_WORKER_S, Shortages, Wish
+from .shortages import ANY_WORKER_S, Demand, Shortages
 from .state import Job, Unit, UnitState, Worker
 
 REST_S = 1.0
@@ -116,16 +116,16 @@
             if claim is not None:
                 planned += self._use_claim(unit, claim, pool)
                 continue
-            wish = self._describe_wish(unit, pool_name, pool, now)
+            demand = self._describe_wish(unit, pool_name, pool, now)
             workers = None
-            if not self._shortages.covers(wish):
-                workers = self._place(unit, pool, now, wish)
+            if not self._shortages.covers(demand):
+                workers = self._place(unit, pool, now, demand)
             if workers is not None:
                 self._plan(unit, workers, pool)
                 planned += 1
                 continue
             blocked.add(step_key)
-            if job.accepted.priority == 0 and self._make_room(unit, pool, now):
+            if job.accepted.priority == 0 and self._preempt_for(unit, pool, now):
                 continue
             if len(unit.indices) == 1 or reservations >= MOST_RESERVATIONS:
                 continue
@@ -245,13 +245,13 @@
 
     def _describe_wish(
         self, unit: Unit, name: str, pool: Sequence[Candidate], now: float
-    ) -> Wish:
+    ) -> Demand:
         one_rack = not self._may_spread(unit, now)
         one_rack = one_rack and self._is_rack_bound(unit, name, pool)
         takes_s = self._estimates.estimate_run(unit)
         if self._stands_idle(unit, now, longer_than=LENT_AFTER_S):
             takes_s = ANY_WORKER_S
-        return Wish(name, unit.step.need, len(unit.indices), one_rack, takes_s)
+        return Demand(name, unit.step.need, len(unit.indices), one_rack, takes_s)
 
     def _is_rack_bound(self, unit: Unit, name: str, pool: Sequence[Candidate]) -> bool:
         """Tell whether a gang wants one rack, and some rack is wide enough for it."""
@@ -264,23 +264,23 @@
         return widest >= count
 
     def _place(
-        self, unit: Unit, pool: Sequence[Candidate], now: float, wish: Wish
+        self, unit: Unit, pool: Sequence[Candidate], now: float, demand: Demand
     ) -> list[str] | None:
-        if wish.takes_s == ANY_WORKER_S:
+        if demand.takes_s == ANY_WORKER_S:
             pool = [dataclasses.replace(c, open_for_s=math.inf) for c in pool]
         avoided = self._list_avoided(unit, pool)
         found = place_unit(
             unit.step,
-            wish.count,
+            demand.count,
             pool,
             avoided=avoided,
             taken=self._count_taken(unit),
             spread_allowed=self._may_spread(unit, now),
-            takes_s=max(0.0, wish.takes_s),
+            takes_s=max(0.0, demand.takes_s),
             fast_first=unit.job.accepted.priority == 0,
         )
         if found is None:
-            self._shortages.note(wish, unit.step, avoids=bool(avoided))
+            self._shortages.note(demand, unit.step, avoids=bool(avoided))
         return found
 
     def _may_spread(self, unit: Unit, now: float) -> bool:
@@ -323,7 +323,7 @@
         for unit in list_leaving(self._core, self._estimates, now):
             self._core.preempt(unit)
 
-    def _make_room(self, unit: Unit, pool: list[Candidate], now: float) -> bool:
+    def _preempt_for(self, unit: Unit, pool: list[Candidate], now: float) -> bool:
         planner = EvictionPlanner(
             candidates=pool,
             workers=self._core.workers,
--- a/src/firladder/_internal/engine/runs.py
+++ b/src/firladder/_internal/engine/runs.py
@@ -190,15 +190,15 @@
         job = self.jobs.get(job_id)
         if job is None:
             return
-        job.durable = max(job.durable, version)
-        if job.durable >= job.version and self.dirty.get(job_id) is job:
+        job.durable_version = max(job.durable_version, version)
+        if job.durable_version >= job.version and self.dirty.get(job_id) is job:
             del self.dirty[job_id]
         waiting, self._planned = self._planned, []
         for placement in waiting:
             unit = placement.unit
             if placement.phase is not Phase.PLANNED or unit is None:
                 continue
-            if unit.job is job and job.durable >= unit.planned_version:
+            if unit.job is job and job.durable_version >= unit.planned_version:
                 placement.phase = Phase.SENT
                 self.starts.append(placement)
             else:
--- a/src/firladder/_internal/engine/shortages.py
+++ b/src/firladder/_internal/engine/shortages.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class Demand:
     """What a unit asks of ``pool``.
 
     ``one_rack`` tells that all tasks must be on one rack, ``takes_s`` for how long
@@ -23,7 +23,7 @@
     one_rack: bool
     takes_s: float
 
-    def asks_no_less(self, other: "Wish") -> bool:
+    def asks_no_less(self, other: "Demand") -> bool:
         """Tell whether whatever serves this wish would serve the other one as well."""
         return (
             self.count >= other.count
@@ -44,13 +44,13 @@
 
     def __init__(self) -> None:
         """Know of no shortage yet."""
-        self._failed: dict[str, list[Wish]] = {}
+        self._failed: dict[str, list[Demand]] = {}
 
     def begin_pass(self) -> None:
         """Forget the pass before: room may have come up since."""
         self._failed.clear()
 
-    def note(self, wish: Wish, step: Step, *, avoids: bool) -> None:
+    def note(self, demand: Demand, step: Step, *, avoids: bool) -> None:
         """Note that a wish could not be served.
 
         A step that is bound to a label, a rack or a number of tasks a worker, or a unit
@@ -58,9 +58,9 @@
         """
         bound = bool(step.label or step.rack or step.most_per_worker)
         if not bound and not avoids:
-            self._failed.setdefault(wish.pool, []).append(wish)
+            self._failed.setdefault(demand.pool, []).append(demand)
 
-    def covers(self, wish: Wish) -> bool:
+    def covers(self, demand: Demand) -> bool:
         """Tell whether a wish cannot be served in this pass."""
-        failed = self._failed.get(wish.pool, ())
-        return any(wish.asks_no_less(other) for other in failed)
+        failed = self._failed.get(demand.pool, ())
+        return any(demand.asks_no_less(other) for other in failed)
--- a/src/firladder/_internal/engine/state.py
+++ b/src/firladder/_internal/engine/state.py
@@ -158,7 +158,7 @@
     units: list[Unit] = dataclasses.field(default_factory=list)
     state: JobState = JobState.QUEUED
     version: int = 0
-    durable: int = 0
+    durable_version: int = 0
     outcome_version: int = 0
     cancelled: bool = False
     ended_at: float = 0.0
@@ -172,7 +172,7 @@
     @property
     def settled(self) -> bool:
         """Tell whether the job's outcome is durable, and so may be shown."""
-        return self.terminal and self.durable >= self.outcome_version
+        return self.terminal and self.durable_version >= self.outcome_version
 
     def touch(self) -> None:
         """Note a change that must become durable."""
@@ -281,17 +281,17 @@
         While a worker is out of reach, the record says until when its runs may
         last. It must be corrected before a new lease makes them last longer.
         """
-        self.barrier = [(j, v) for j, v in self.barrier if j.durable < v]
+        self.barrier = [(j, v) for j, v in self.barrier if j.durable_version < v]
         return self.reachable and not self.barrier
 
     def find_last_durable_end(self) -> int:
         """Return the highest end up to which all are durable."""
-        durable = self.last_acknowledged
+        durable_version = self.last_acknowledged
         for number, job, version in self.unacknowledged_ends:
-            if job is not None and job.durable < version:
+            if job is not None and job.durable_version < version:
                 break
-            durable = number
-        return durable
+            durable_version = number
+        return durable_version
 
     def drop_acknowledged_ends(self, number: int) -> None:
         """Note that the worker was told to forget its ends up to ``number``."""
--- a/src/firladder/_internal/evaluation/day_policies.py
+++ b/src/firladder/_internal/evaluation/day_policies.py
@@ -4,7 +4,7 @@
 
 from ..engine.placement import Candidate
 from ..engine.planning import Planner
-from ..engine.shortages import Wish
+from ..engine.shortages import Demand
 from ..engine.state import Unit
 from ..policies.registry import Registry
 
@@ -26,7 +26,7 @@
 class BackfillPlanner(Planner):
     """First come first served, with room kept for waiting gangs; evicts nothing."""
 
-    def _make_room(self, unit: Unit, pool: list[Candidate], now: float) -> bool:
+    def _preempt_for(self, unit: Unit, pool: list[Candidate], now: float) -> bool:
         return False
 
     def _rank(self, unit: Unit, wall: float) -> tuple[float, ...]:
@@ -45,10 +45,10 @@
         return super().run_pass(now=now, wall=wall)
 
     def _place(
-        self, unit: Unit, pool: Sequence[Candidate], now: float, wish: Wish
+        self, unit: Unit, pool: Sequence[Candidate], now: float, demand: Demand
     ) -> list[str] | None:
         if self._closed:
             return None
-        found = super()._place(unit, pool, now, wish)
+        found = super()._place(unit, pool, now, demand)
         self._closed = found is None
         return found
--- a/src/firladder/_internal/node/retention.py
+++ b/src/firladder/_internal/node/retention.py
@@ -51,7 +51,9 @@
         old = [
             job_id
             for job_id, job in self._core.jobs.items()
-            if job.terminal and 0 < job.ended_at < before and job.durable >= job.version
+            if job.terminal
+            and 0 < job.ended_at < before
+            and job.durable_version >= job.version
         ]
         for job_id in old[:CLEANED_AT_ONCE]:
             keys = [JOBS + job_id, CANCELS + job_id, PROGRESS + job_id]
