--- a/src/firladder/_internal/engine/answers.py
+++ b/src/firladder/_internal/engine/answers.py
@@ -15,7 +15,7 @@
 from .runs import Runs
 from .state import Phase, Placement, Worker
 
-FULL_S = 1.0
+FULL_WORKER_BACKOFF_S = 1.0
 """Seconds without new work for a worker that said it has no room."""
 
 
@@ -30,9 +30,9 @@
         if worker is None or placement.key not in worker.placements:
             return
         if isinstance(answer, float):
-            placement.seen = True
-            if placement.settled_at == math.inf:
-                placement.settled_at = now
+            placement.reported = True
+            if placement.last_answer_at == math.inf:
+                placement.last_answer_at = now
             if placement.phase is Phase.SENT:
                 self._activate(placement, now)
             return
@@ -42,15 +42,15 @@
         if isinstance(answer, SentUnanswered | FencedOff):
             self.mark_unreachable(worker, now)
             if placement.phase is Phase.SENT:
-                self._end_run_of(placement)
+                self._abort_run_of(placement)
             return
-        self._judge_refusal(worker, placement, answer, now)
+        self._handle_refusal(worker, placement, answer, now)
         if not placement.may_start_late:
             self._resolve(worker, placement, None)
         elif placement.phase is Phase.SENT:
-            self._end_run_of(placement)
+            self._abort_run_of(placement)
 
-    def _judge_refusal(
+    def _handle_refusal(
         self,
         worker: Worker,
         placement: Placement,
@@ -59,11 +59,11 @@
     ) -> None:
         unit = placement.unit
         if isinstance(answer, OrderRejected) and answer.rejection == "no_room":
-            worker.full_until = now + FULL_S
+            worker.full_until = now + FULL_WORKER_BACKOFF_S
         elif isinstance(answer, NotSent):
             self.mark_unreachable(worker, now)
         elif isinstance(answer, WorkerRefused) and unit is not None:
-            worker.full_until = now + FULL_S
+            worker.full_until = now + FULL_WORKER_BACKOFF_S
             record_failure(worker, unit.job.accepted.job_id, now)
 
     def handle_stop_answer(
@@ -75,11 +75,11 @@
             return
         if isinstance(answer, float):
             placement.stop_answered = True
-            placement.settled_at = now
+            placement.last_answer_at = now
         elif isinstance(answer, WorkerReplaced):
             self.lose_worker(worker.worker_id, answer.reason)
         elif isinstance(answer, OrderRejected):
             placement.stop_answered = True
-            placement.settled_at = now
+            placement.last_answer_at = now
         else:
             self.mark_unreachable(worker, now)
--- a/src/firladder/_internal/engine/core.py
+++ b/src/firladder/_internal/engine/core.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from ..models.workload import AcceptedJob, WorkerEntry
-from .leases import LATE_ORDER_S, estimate_inherited_lapse, read_recorded_lapse
+from .leases import LATE_ORDER_S, convert_recorded_expiry, estimate_inherited_expiry
 from .progress import JobProgress, restore_job
 from .reports import Reports
 from .state import Job, JobState, Worker, build_job
@@ -45,7 +45,7 @@
             if unit.lacks_members:
                 # The earlier leader had given the run up: its other members would
                 # hold their workers until they end alone.
-                self._give_up_run(unit)
+                self._abort_run(unit)
         if job.terminal:
             self._stop_all(job)
 
@@ -59,7 +59,7 @@
         longest that the earlier leader can have granted, which may keep a task
         waiting for a long while with all workers idle.
         """
-        unknown = estimate_inherited_lapse(now=now, lease_s=self.lease_s)
+        unknown = estimate_inherited_expiry(now=now, lease_s=self.lease_s)
         for worker in self.workers.values():
             jobs = {p.task.job_id for p in worker.placements.values()}
             known = [
@@ -75,7 +75,7 @@
                 continue
             worker.granted_until = min(
                 unknown + LATE_ORDER_S,
-                read_recorded_lapse(max(lapses), now=now, wall=wall),
+                convert_recorded_expiry(max(lapses), now=now, wall=wall),
             )
             worker.reachable = False
             worker.unreachable_at = now
--- a/src/firladder/_internal/engine/estimates.py
+++ b/src/firladder/_internal/engine/estimates.py
@@ -1,10 +1,10 @@
 """How long work takes and lasts, and which workers a waiting gang can have."""
 
 from .core import Core
-from .placement import Candidate, count_fits, group_by_rack, list_suitable
+from .placement import Candidate, count_fitting_if_empty, group_by_rack, list_suitable
 from .state import Phase, Unit
 
-STRAY_LEFT_S = 0.5
+ORPHAN_STOP_S = 0.5
 """Seconds until a run that is not ours to have is gone: a stop and a look."""
 
 
@@ -26,7 +26,7 @@
         self._left.clear()
         self._free.clear()
 
-    def note_change(self, unit: Unit) -> None:
+    def invalidate(self, unit: Unit) -> None:
         """Note that a unit was planned or stopped within this pass."""
         self._left.pop(id(unit), None)
         for placement in unit.placements.values():
@@ -39,13 +39,13 @@
     def estimate_remaining(self, unit: Unit | None, now: float) -> float:
         """Return in how many seconds a unit's run is likely to be done."""
         if unit is None:
-            return STRAY_LEFT_S
+            return ORPHAN_STOP_S
         known = self._left.get(id(unit))
         if known is None:
-            known = self._left[id(unit)] = self._work_out_left(unit, now)
+            known = self._left[id(unit)] = self._compute_remaining(unit, now)
         return known
 
-    def _work_out_left(self, unit: Unit, now: float) -> float:
+    def _compute_remaining(self, unit: Unit, now: float) -> float:
         expected = self.estimate_run(unit)
         active = [p for p in unit.placements.values() if p.phase is Phase.ACTIVE]
         if not active:
@@ -53,7 +53,9 @@
         elapsed = now - max(p.active_at for p in active)
         percent = max(p.percent for p in active)
         if percent >= 20:
-            since = max(p.moved_at for p in active) - max(p.active_at for p in active)
+            since = max(p.progressed_at for p in active) - max(
+                p.active_at for p in active
+            )
             total = max(since, 0.1) * 100 / percent
             return max(0.0, total - elapsed)
         return max(0.2, expected - elapsed)
@@ -72,7 +74,7 @@
             )
         return known
 
-    def reserve(self, unit: Unit, pool: list[Candidate], now: float) -> bool:
+    def limit_backfill(self, unit: Unit, pool: list[Candidate], now: float) -> bool:
         """Keep the workers that the gang can have soonest from longer work.
 
         Answers a steady stream of small tasks beside a large gang: each takes the
@@ -84,7 +86,7 @@
         groups = group_by_rack(suitable) if step.one_rack else [suitable]
         best: tuple[float, list[Candidate]] | None = None
         for group in groups:
-            capacity = sum(count_fits(c, step.need) for c in group)
+            capacity = sum(count_fitting_if_empty(c, step.need) for c in group)
             if capacity < len(unit.indices):
                 continue
             frees = sorted(
@@ -96,7 +98,7 @@
             at = 0.0
             for free_at, candidate in frees:
                 chosen.append(candidate)
-                room += count_fits(candidate, step.need)
+                room += count_fitting_if_empty(candidate, step.need)
                 at = free_at
                 if room >= len(unit.indices):
                     break
@@ -105,5 +107,5 @@
         if best is None:
             return False
         for candidate in best[1]:
-            candidate.open_for_s = min(candidate.open_for_s, best[0])
+            candidate.backfill_window_s = min(candidate.backfill_window_s, best[0])
         return True
--- a/src/firladder/_internal/engine/evacuation.py
+++ b/src/firladder/_internal/engine/evacuation.py
@@ -6,7 +6,7 @@
 from .estimates import Estimates
 from .state import Phase, Unit, UnitState
 
-LAST_MOMENT_S = 0.8
+CHECKPOINT_STOP_S = 0.8
 """Seconds before a worker leaves at which work that saves its progress is stopped:
 the stop takes up to 0.2 s, and a look must still see its end and checkpoint."""
 
@@ -15,7 +15,7 @@
 is a little longer."""
 
 
-def list_leaving(core: Core, estimates: Estimates, now: float) -> Iterator[Unit]:
+def list_units_to_move(core: Core, estimates: Estimates, now: float) -> Iterator[Unit]:
     """Yield the units that must be stopped now.
 
     Answers workers that are replaced in turn or taken away at short notice: what still
@@ -33,7 +33,7 @@
                 continue
             if unit.state is not UnitState.BUSY:
                 continue
-            if _must_leave(unit, estimates.estimate_remaining(unit, now), left_s):
+            if _must_move(unit, estimates.estimate_remaining(unit, now), left_s):
                 core.note(
                     "moved off a draining worker",
                     job=unit.job.accepted.job_id,
@@ -43,9 +43,9 @@
                 yield unit
 
 
-def _must_leave(unit: Unit, needed_s: float, left_s: float) -> bool:
+def _must_move(unit: Unit, needed_s: float, left_s: float) -> bool:
     if needed_s <= left_s:
         return False
     if unit.step.checkpoints:
-        return left_s < LAST_MOMENT_S
+        return left_s < CHECKPOINT_STOP_S
     return needed_s > left_s + DRAIN_SLACK_S
--- a/src/firladder/_internal/engine/leases.py
+++ b/src/firladder/_internal/engine/leases.py
@@ -19,12 +19,12 @@
 """Seconds by which the clocks of two VMs may differ: they are close, but one may
 jump by two seconds."""
 
-RENEW_AHEAD = 0.35
+RENEW_AFTER_SHARE = 0.35
 """Share of the longest lease after which it is renewed: the rest, two thirds, is
 what a cut may last without ending the work behind it."""
 
 
-DRAINING_HOLD_S = 3.0
+DRAINING_LEASE_S = 3.0
 """Seconds of a lease at a worker that drains. When it has left, what ran there
 counts as lost only when its lease has ended; the usual lease would keep it waiting
 for ten seconds."""
@@ -32,21 +32,21 @@
 
 def choose_lease_s(worker: Worker, *, lease_s: float) -> float:
     """Return for how long a lease is granted."""
-    return min(lease_s, DRAINING_HOLD_S) if worker.entry.draining else lease_s
+    return min(lease_s, DRAINING_LEASE_S) if worker.entry.draining else lease_s
 
 
 def choose_deadline(worker: Worker, *, now: float, lease_s: float) -> float | None:
     """Return the worker's own time at which a lease granted now ends."""
-    if worker.clock_ahead_s is None:
+    if worker.clock_offset_s is None:
         return None
-    return now + worker.clock_ahead_s + lease_s
+    return now + worker.clock_offset_s + lease_s
 
 
 def needs_renewal(worker: Worker, *, now: float, lease_s: float) -> bool:
     """Tell whether the lease of what runs on a worker shall be renewed now."""
     if not worker.placements:
         return False
-    return worker.renewed_until - now < lease_s * (1 - RENEW_AHEAD)
+    return worker.renewed_until - now < lease_s * (1 - RENEW_AFTER_SHARE)
 
 
 def record_grant_sent(worker: Worker, *, now: float, lease_s: float) -> int:
@@ -70,7 +70,7 @@
     worker.open_grants.pop(number, None)
 
 
-def estimate_inherited_lapse(*, now: float, lease_s: float) -> float:
+def estimate_inherited_expiry(*, now: float, lease_s: float) -> float:
     """Return when all leases that an earlier leader granted have surely ended.
 
     Leases without an answer make a worker count as out of reach, which is in the
@@ -79,6 +79,6 @@
     return now + STORE_OUTAGE_GRACE_S + lease_s * CLOCK_DRIFT
 
 
-def read_recorded_lapse(lapse_wall: float, *, now: float, wall: float) -> float:
+def convert_recorded_expiry(lapse_wall: float, *, now: float, wall: float) -> float:
     """Return a recorded lapse on this leader's own clock."""
     return now + max(0.0, lapse_wall - wall) + WALL_SKEW_S
--- a/src/firladder/_internal/engine/placement.py
+++ b/src/firladder/_internal/engine/placement.py
@@ -15,8 +15,8 @@
 class Candidate:
     """A worker that may get tasks, with what is free there in this pass.
 
-    ``open_for_s`` is for how long it may be used before it is needed for a gang
-    that waits; ``slow`` is how many times as long a task takes there.
+    ``backfill_window_s`` is for how long it may be used before it is needed for a gang
+    that waits; ``slowness`` is how many times as long a task takes there.
     """
 
     worker_id: str
@@ -24,16 +24,16 @@
     labels: frozenset[str]
     capacity: Resources
     free: Resources
-    slow: float = 1.0
-    open_for_s: float = math.inf
+    slowness: float = 1.0
+    backfill_window_s: float = math.inf
 
 
-def count_fits(candidate: Candidate, need: Resources) -> int:
+def count_fitting_if_empty(candidate: Candidate, need: Resources) -> int:
     """Return how many like tasks an empty worker holds."""
-    return count_room(candidate.capacity, need)
+    return count_fitting(candidate.capacity, need)
 
 
-def count_room(free: Resources, need: Resources) -> int:
+def count_fitting(free: Resources, need: Resources) -> int:
     """Return how many like tasks fit into free room."""
     # Asked for each worker by each unit that waits: a list made here only to be
     # dropped was a third of a pass over a large pool.
@@ -60,7 +60,7 @@
     """
     left = free - need
     return (
-        round(candidate.slow, 1) if fast_first else 1.0,
+        round(candidate.slowness, 1) if fast_first else 1.0,
         left.accelerators,
         left.memory_mb,
         candidate.worker_id,
@@ -72,9 +72,9 @@
     candidates: Iterable[Candidate],
     avoided: Collection[str],
     *,
-    takes_s: float = 0.0,
+    run_time_s: float = 0.0,
 ) -> list[Candidate]:
-    """Return the workers that the step may use for ``takes_s`` seconds.
+    """Return the workers that the step may use for ``run_time_s`` seconds.
 
     Its label, its past failures, and gangs that wait for a worker rule some out.
     """
@@ -83,20 +83,23 @@
         for c in candidates
         if (not step.label or step.label in c.labels)
         and c.worker_id not in avoided
-        and takes_s <= c.open_for_s
+        and run_time_s <= c.backfill_window_s
         and c.capacity.covers(step.need)
     ]
 
 
 def fits_one_rack(step: Step, count: int, candidates: Sequence[Candidate]) -> bool:
     """Tell whether some rack could hold all tasks if it were empty."""
-    return measure_widest_rack(step.need, candidates) >= count
+    return measure_largest_rack(step.need, candidates) >= count
 
 
-def measure_widest_rack(need: Resources, candidates: Sequence[Candidate]) -> int:
+def measure_largest_rack(need: Resources, candidates: Sequence[Candidate]) -> int:
     """Return how many like tasks the largest rack would hold if it were empty."""
     return max(
-        (sum(count_fits(c, need) for c in rack) for rack in group_by_rack(candidates)),
+        (
+            sum(count_fitting_if_empty(c, need) for c in rack)
+            for rack in group_by_rack(candidates)
+        ),
         default=0,
     )
 
@@ -120,7 +123,7 @@
 
     ``taken`` tells how many tasks of the step each worker has already.
     """
-    if not _has_room(step, count, candidates):
+    if not _may_fit(step, count, candidates):
         return None
     free = {c.worker_id: c.free for c in candidates}
     used = dict(taken)
@@ -128,11 +131,11 @@
     chosen: list[str] = []
     current: str | None = None
     for _ in range(count):
-        if current is None or not _takes(step, current, free, used):
+        if current is None or not _accepts(step, current, free, used):
             ranked = (
                 (rank_fit(c, free[w], step.need, fast_first=fast_first), w)
                 for w, c in by_id.items()
-                if _takes(step, w, free, used)
+                if _accepts(step, w, free, used)
             )
             current = min(ranked, default=((), None))[1]
             if current is None:
@@ -143,19 +146,19 @@
     return chosen
 
 
-def _has_room(step: Step, count: int, candidates: Iterable[Candidate]) -> bool:
+def _may_fit(step: Step, count: int, candidates: Iterable[Candidate]) -> bool:
     """Tell whether so many tasks fit at most; on a full pool mostly they do not."""
     if step.need == Resources():
         return True
     room = 0
     for candidate in candidates:
-        room += count_room(candidate.free, step.need)
+        room += count_fitting(candidate.free, step.need)
         if room >= count:
             return True
     return False
 
 
-def _takes(
+def _accepts(
     step: Step, worker_id: str, free: dict[str, Resources], used: dict[str, int]
 ) -> bool:
     if step.most_per_worker and used.get(worker_id, 0) >= step.most_per_worker:
@@ -171,7 +174,7 @@
     avoided: Collection[str] = (),
     taken: dict[str, int] | None = None,
     spread_allowed: bool = False,
-    takes_s: float = 0.0,
+    run_time_s: float = 0.0,
     fast_first: bool = False,
 ) -> list[str] | None:
     """Return a worker for each of ``count`` tasks, or None.
@@ -180,7 +183,7 @@
     racks it would take several times as long, and hold its accelerators all
     that while; only ``spread_allowed``, or a gang larger than any rack, lets it.
     """
-    suitable = list_suitable(step, candidates, avoided, takes_s=takes_s)
+    suitable = list_suitable(step, candidates, avoided, run_time_s=run_time_s)
     held = taken or {}
     if step.rack:
         near = [c for c in suitable if c.rack == step.rack]
@@ -190,7 +193,7 @@
     if step.one_rack and count > 1:
         options = [
             (
-                _find_pace(rack, found) if fast_first else 1.0,
+                _find_slowest(rack, found) if fast_first else 1.0,
                 sum(c.free.accelerators for c in rack),
                 found,
             )
@@ -205,6 +208,6 @@
     return assign_tasks(step, count, suitable, held, fast_first=fast_first)
 
 
-def _find_pace(rack: Sequence[Candidate], chosen: Sequence[str]) -> float:
+def _find_slowest(rack: Sequence[Candidate], chosen: Sequence[str]) -> float:
     """Return how slow the slowest of the chosen workers is: a gang is as slow."""
-    return max(round(c.slow, 1) for c in rack if c.worker_id in chosen)
+    return max(round(c.slowness, 1) for c in rack if c.worker_id in chosen)
--- a/src/firladder/_internal/engine/planning.py
+++ b/src/firladder/_internal/engine/planning.py
@@ -6,52 +6,57 @@
 from collections.abc import Iterator, Mapping, Sequence
 
 from ..models.workload import Queue, Resources
-from .claims import Claim, Claims, has_come
 from .core import Core
 from .estimates import Estimates
-from .evacuation import list_leaving
+from .evacuation import list_units_to_move
 from .health import find_suspect_pools
-from .idleness import FAR_AFTER_S, LENT_AFTER_S, find_idle_pools, stands_still
+from .idleness import (
+    IGNORE_BACKFILL_LIMIT_AFTER_S,
+    SPREAD_IF_IDLE_AFTER_S,
+    find_idle_pools,
+    is_starved,
+)
 from .lateness import is_late
 from .placement import (
     Candidate,
     list_suitable,
-    measure_widest_rack,
+    measure_largest_rack,
     place_unit,
 )
-from .preemption import ACCELERATOR_CORES, Eviction, EvictionPlanner
+from .preemption import ACCELERATOR_CORES, PreemptionPlan, PreemptionPlanner
+from .reservations import Reservation, Reservations, is_capacity_free
 from .shortages import ANY_WORKER_S, Demand, Shortages
 from .state import Job, Unit, UnitState, Worker
 
-REST_S = 1.0
+PREEMPTED_BACKOFF_S = 1.0
 """Seconds for which a unit that was stopped for urgent work waits before it is planned
 again. In a burst it would take the room that the next urgent job needs a moment later,
 and each time cost an order to begin, one to stop, and what it had done meanwhile."""
 
-MOST_RESERVATIONS = 3
+MAX_PROTECTED_GANGS = 3
 """Waiting gangs for which room is kept free in one pass. Each keeps workers from
 smaller work, so that a steady stream of it does not starve the gang; more than
 a few would leave accelerators idle."""
 
-LOSS_FOR_WORK = 4.0
+MAX_LOSS_RATIO = 4.0
 """Core-seconds of lower work that may be lost for each core-second of urgent work
 beyond its organisation's guarantee. Urgent work in time is worth several times
 what a core-second costs; beyond this, a large gang that has just begun is thrown
 away for a small job, and is late itself. Within the guarantee nothing bounds it:
 those accelerators were only lent."""
 
-PATIENCE_SHARE = 0.35
+CHEAP_ONLY_SHARE = 0.35
 """Share of the time within which guaranteed work must begin, for which it waits for
-room that costs less than ``LOSS_FOR_WORK``. Stops and orders need the rest. Few such
+room that costs less than ``MAX_LOSS_RATIO``. Stops and orders need the rest. Few such
 evictions make up most of the lost work: one for two tasks breaks a gang that has done
 thousands of core-seconds. Waiting halves what an urgent burst on a full pool loses, and
 callers get as much."""
 
-RECLAIM_TAKES_S = 2.0
+RECLAIM_MARGIN_S = 2.0
 """Seconds kept of that time in any case: a stop takes up to 0.9 s, its end is read and
 the new run stored and ordered within half a second, and a busy leader is later."""
 
-SPREAD_AFTER = 0.6
+SPREAD_AFTER_SHARE = 0.6
 """Share of the time within which guaranteed work must begin, after which such a
 gang takes any racks. It then takes several times as long, and keeps its
 accelerators from others all that while."""
@@ -70,12 +75,12 @@
         self._estimates = Estimates(core)
         self._reclaim_s = reclaim_s
         self._restart_s = restart_s
-        self._claims = Claims()
+        self._reservations = Reservations()
         self._queues: dict[str, Queue] = {}
         self._idle_pools: set[str] = set()
-        self._closed_racks: set[str] = set()
+        self._evacuated_racks: set[str] = set()
         self._shortages = Shortages()
-        self._widest: dict[tuple[str, Resources], int] = {}
+        self._largest_racks: dict[tuple[str, Resources], int] = {}
         self.next_due_s: float | None = None
 
     def run_pass(self, *, now: float, wall: float) -> int:
@@ -85,18 +90,18 @@
         self.next_due_s = None
         self._estimates.begin_pass()
         self._shortages.begin_pass()
-        self._widest.clear()
+        self._largest_racks.clear()
         free = {w.worker_id: w.free for w in core.workers.values()}
         candidates = self._list_candidates(free, now)
         open_workers = [w for w in core.workers.values() if not core.is_evacuated(w)]
         self._idle_pools = find_idle_pools(open_workers, free)
-        self._closed_racks = {
+        self._evacuated_racks = {
             w.rack for w in core.workers.values() if w.rack and core.is_evacuated(w)
         }
         waiting = sorted(
             self._list_waiting(now, wall), key=lambda unit: self._rank(unit, wall)
         )
-        self._claims.hold(
+        self._reservations.hold(
             waiting,
             itertools.chain.from_iterable(candidates.values()),
             now=now,
@@ -104,7 +109,7 @@
         )
         planned = 0
         blocked: set[tuple[str, int, int]] = set()
-        reservations = 0
+        protected_gangs = 0
         for unit in waiting:
             job = unit.job
             step_key = (job.accepted.job_id, unit.occurrence, unit.step_index)
@@ -112,9 +117,9 @@
                 continue
             pool_name = self._find_pool(job)
             pool = candidates.get(pool_name, [])
-            claim = self._claims.find(unit)
-            if claim is not None:
-                planned += self._use_claim(unit, claim, pool)
+            reservation = self._reservations.find(unit)
+            if reservation is not None:
+                planned += self._use_reservation(unit, reservation, pool)
                 continue
             demand = self._describe_wish(unit, pool_name, pool, now)
             workers = None
@@ -127,10 +132,10 @@
             blocked.add(step_key)
             if job.accepted.priority == 0 and self._preempt_for(unit, pool, now):
                 continue
-            if len(unit.indices) == 1 or reservations >= MOST_RESERVATIONS:
+            if len(unit.indices) == 1 or protected_gangs >= MAX_PROTECTED_GANGS:
                 continue
-            if not unit.step.one_rack or self._is_rack_bound(unit, pool_name, pool):
-                reservations += self._estimates.reserve(unit, pool, now)
+            if not unit.step.one_rack or self._needs_one_rack(unit, pool_name, pool):
+                protected_gangs += self._estimates.limit_backfill(unit, pool, now)
         return planned
 
     def _list_candidates(
@@ -152,7 +157,7 @@
                     entry.labels,
                     entry.capacity,
                     free[worker.worker_id],
-                    slow=self._core.speeds.find_slowness(worker.worker_id),
+                    slowness=self._core.speeds.find_slowness(worker.worker_id),
                 )
             )
         return pools
@@ -185,7 +190,7 @@
                     continue
                 for unit in units:
                     if unit.state is UnitState.WAITING and not unit.placements:
-                        if now < unit.rests_until:
+                        if now < unit.backoff_until:
                             continue
                         if unit.ready_at < 0:
                             unit.ready_at = now
@@ -227,19 +232,25 @@
 
     def _is_late(self, unit: Unit, wall: float) -> bool:
         accepted = unit.job.accepted
-        takes_s = self._estimates.estimate_run(unit)
-        return is_late(accepted, takes_s=takes_s, age_s=wall - accepted.accepted_at_s)
+        run_time_s = self._estimates.estimate_run(unit)
+        return is_late(
+            accepted, run_time_s=run_time_s, age_s=wall - accepted.accepted_at_s
+        )
 
-    def _use_claim(self, unit: Unit, claim: Claim, pool: Sequence[Candidate]) -> int:
-        if not has_come(claim, pool):
+    def _use_reservation(
+        self, unit: Unit, reservation: Reservation, pool: Sequence[Candidate]
+    ) -> int:
+        if not is_capacity_free(reservation, pool):
             return 0
-        self._claims.drop(unit)
-        self._core.plan_run(unit, claim.workers)
-        self._estimates.note_change(unit)
+        self._reservations.drop(unit)
+        self._core.plan_run(unit, reservation.workers)
+        self._estimates.invalidate(unit)
         return 1
 
-    def _stands_idle(self, unit: Unit, now: float, *, longer_than: float) -> bool:
-        if not stands_still(unit, now, longer_than=longer_than):
+    def _is_starved_in_idle_pool(
+        self, unit: Unit, now: float, *, longer_than: float
+    ) -> bool:
+        if not is_starved(unit, now, longer_than=longer_than):
             return False
         return self._find_pool(unit.job) in self._idle_pools
 
@@ -247,27 +258,29 @@
         self, unit: Unit, name: str, pool: Sequence[Candidate], now: float
     ) -> Demand:
         one_rack = not self._may_spread(unit, now)
-        one_rack = one_rack and self._is_rack_bound(unit, name, pool)
-        takes_s = self._estimates.estimate_run(unit)
-        if self._stands_idle(unit, now, longer_than=LENT_AFTER_S):
-            takes_s = ANY_WORKER_S
-        return Demand(name, unit.step.need, len(unit.indices), one_rack, takes_s)
-
-    def _is_rack_bound(self, unit: Unit, name: str, pool: Sequence[Candidate]) -> bool:
+        one_rack = one_rack and self._needs_one_rack(unit, name, pool)
+        run_time_s = self._estimates.estimate_run(unit)
+        if self._is_starved_in_idle_pool(
+            unit, now, longer_than=IGNORE_BACKFILL_LIMIT_AFTER_S
+        ):
+            run_time_s = ANY_WORKER_S
+        return Demand(name, unit.step.need, len(unit.indices), one_rack, run_time_s)
+
+    def _needs_one_rack(self, unit: Unit, name: str, pool: Sequence[Candidate]) -> bool:
         """Tell whether a gang wants one rack, and some rack is wide enough for it."""
         need, count = unit.step.need, len(unit.indices)
         if not unit.step.one_rack or count == 1:
             return False
-        widest = self._widest.get((name, need))
-        if widest is None:
-            widest = self._widest[name, need] = measure_widest_rack(need, pool)
-        return widest >= count
+        largest = self._largest_racks.get((name, need))
+        if largest is None:
+            largest = self._largest_racks[name, need] = measure_largest_rack(need, pool)
+        return largest >= count
 
     def _place(
         self, unit: Unit, pool: Sequence[Candidate], now: float, demand: Demand
     ) -> list[str] | None:
-        if demand.takes_s == ANY_WORKER_S:
-            pool = [dataclasses.replace(c, open_for_s=math.inf) for c in pool]
+        if demand.run_time_s == ANY_WORKER_S:
+            pool = [dataclasses.replace(c, backfill_window_s=math.inf) for c in pool]
         avoided = self._list_avoided(unit, pool)
         found = place_unit(
             unit.step,
@@ -276,22 +289,22 @@
             avoided=avoided,
             taken=self._count_taken(unit),
             spread_allowed=self._may_spread(unit, now),
-            takes_s=max(0.0, demand.takes_s),
+            run_time_s=max(0.0, demand.run_time_s),
             fast_first=unit.job.accepted.priority == 0,
         )
         if found is None:
-            self._shortages.note(demand, unit.step, avoids=bool(avoided))
+            self._shortages.note(demand, unit.step, has_exclusions=bool(avoided))
         return found
 
     def _may_spread(self, unit: Unit, now: float) -> bool:
-        if unit.step.rack in self._closed_racks:
+        if unit.step.rack in self._evacuated_racks:
             # Nothing begins there until the operators take the domain back.
             return True
-        if self._stands_idle(unit, now, longer_than=FAR_AFTER_S):
+        if self._is_starved_in_idle_pool(unit, now, longer_than=SPREAD_IF_IDLE_AFTER_S):
             return True
         waited = now - unit.ready_at
         urgent = unit.job.accepted.priority == 0
-        late = waited > self._reclaim_s * SPREAD_AFTER
+        late = waited > self._reclaim_s * SPREAD_AFTER_SHARE
         return urgent and late and self._is_guaranteed(unit)
 
     def _list_avoided(self, unit: Unit, pool: Sequence[Candidate]) -> set[str]:
@@ -315,16 +328,16 @@
         for worker_id in workers:
             by_id[worker_id].free = by_id[worker_id].free - unit.step.need
         self._core.plan_run(unit, workers)
-        self._estimates.note_change(unit)
+        self._estimates.invalidate(unit)
 
     def evacuate(self, now: float) -> None:
         """Move work off workers that leave before it can be done."""
         self._estimates.begin_pass()
-        for unit in list_leaving(self._core, self._estimates, now):
+        for unit in list_units_to_move(self._core, self._estimates, now):
             self._core.preempt(unit)
 
     def _preempt_for(self, unit: Unit, pool: list[Candidate], now: float) -> bool:
-        planner = EvictionPlanner(
+        planner = PreemptionPlanner(
             candidates=pool,
             workers=self._core.workers,
             now=now,
@@ -336,7 +349,7 @@
         )
         if found is None:
             return False
-        if not self._is_worth(unit, found) and not self._must_reclaim(unit, now):
+        if not self._is_worth_cost(unit, found) and not self._must_reclaim(unit, now):
             return False
         self._core.note(
             "room made",
@@ -351,10 +364,10 @@
             if placement.worker_id in found.workers
         )
         for victim in found.victims:
-            self._estimates.note_change(victim)
+            self._estimates.invalidate(victim)
             self._core.preempt(victim)
-            victim.rests_until = now + REST_S
-        self._claims.add(unit, Claim(found.workers, now, stopped))
+            victim.backoff_until = now + PREEMPTED_BACKOFF_S
+        self._reservations.add(unit, Reservation(found.workers, now, stopped))
         by_id = {c.worker_id: c for c in pool}
         for worker_id in found.workers:
             by_id[worker_id].free = by_id[worker_id].free - unit.step.need
@@ -362,15 +375,15 @@
 
     def _must_reclaim(self, unit: Unit, now: float) -> bool:
         patience_s = min(
-            self._reclaim_s * PATIENCE_SHARE, self._reclaim_s - RECLAIM_TAKES_S
+            self._reclaim_s * CHEAP_ONLY_SHARE, self._reclaim_s - RECLAIM_MARGIN_S
         )
         return now - unit.ready_at >= patience_s and self._is_guaranteed(unit)
 
-    def _is_worth(self, unit: Unit, found: Eviction) -> bool:
+    def _is_worth_cost(self, unit: Unit, found: PreemptionPlan) -> bool:
         need = unit.step.need
         cores = need.cpu_milli / 1000 + need.accelerators * ACCELERATOR_CORES
         work = cores * len(unit.indices) * self._estimates.estimate_run(unit)
-        return found.cost <= LOSS_FOR_WORK * work
+        return found.cost <= MAX_LOSS_RATIO * work
 
     def _is_guaranteed(self, unit: Unit) -> bool:
         """Tell whether the organisation's urgent work is within its guarantee."""
--- a/src/firladder/_internal/engine/preemption.py
+++ b/src/firladder/_internal/engine/preemption.py
@@ -11,7 +11,7 @@
 """Cores that one accelerator counts for when lost work is weighed; the price
 list of the platform counts it so."""
 
-RUN_LOST_S = 1.0
+LOST_RUN_PENALTY_S = 1.0
 """Seconds of its cores that a unit's cost grows by with each run that it has lost. What
 was only just begun costs nothing to stop, so that it is always the first: without this
 the same gang is begun and stopped again and again, and never ends."""
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Eviction:
+class PreemptionPlan:
     """Workers for the tasks of an urgent unit, and the units that must end."""
 
     workers: tuple[str, ...]
@@ -30,7 +30,7 @@
     cost: float
 
 
-def weigh_loss(unit: Unit, now: float, *, restart_s: float) -> float:
+def estimate_loss(unit: Unit, now: float, *, restart_s: float) -> float:
     """Return what is lost when a unit is stopped, in core-seconds.
 
     A task that saves its progress does so at a stop too, however long ago it did
@@ -39,7 +39,7 @@
     """
     need = unit.step.need
     cores = need.cpu_milli / 1000 + need.accelerators * ACCELERATOR_CORES
-    lost_before = cores * len(unit.indices) * RUN_LOST_S * (unit.run - 1)
+    lost_before = cores * len(unit.indices) * LOST_RUN_PENALTY_S * (unit.run - 1)
     active = [p for p in unit.placements.values() if p.active_at]
     if not active:
         return lost_before
@@ -63,7 +63,7 @@
     return list(units.values())
 
 
-class EvictionPlanner:
+class PreemptionPlanner:
     """Find the cheapest set of units to stop so that an urgent unit fits.
 
     Answers an urgent gang that meets full workers: an organisation's guaranteed
@@ -88,7 +88,7 @@
 
     def plan(
         self, unit: Unit, *, avoided: Collection[str], spread_allowed: bool
-    ) -> Eviction | None:
+    ) -> PreemptionPlan | None:
         """Return the cheapest eviction, or None if even that makes no room."""
         step = unit.step
         suitable = list_suitable(step, self._candidates, avoided)
@@ -99,10 +99,12 @@
         one_rack = step.one_rack and count > 1 and not spread_allowed
         if one_rack and fits_one_rack(step, count, suitable):
             pools = group_by_rack(suitable)
-        plans = (self._fill(unit, pool) for pool in pools)
+        plans = (self._plan_within(unit, pool) for pool in pools)
         return min(filter(None, plans), key=lambda p: p.cost, default=None)
 
-    def _fill(self, unit: Unit, pool: Sequence[Candidate]) -> Eviction | None:
+    def _plan_within(
+        self, unit: Unit, pool: Sequence[Candidate]
+    ) -> PreemptionPlan | None:
         step = unit.step
         free = {c.worker_id: c.free for c in pool}
         used: dict[str, int] = {}
@@ -117,20 +119,24 @@
                     used.get(worker_id, 0) >= step.most_per_worker
                 ):
                     continue
-                needed = self._free_on(unit, worker_id, free[worker_id], victims)
+                needed = self._find_victims_on(
+                    unit, worker_id, free[worker_id], victims
+                )
                 if needed is None:
                     continue
-                price = sum(map(self._weigh, needed)) * candidate.slow
+                victims_cost = (
+                    sum(map(self._estimate_cost, needed)) * candidate.slowness
+                )
                 left = (free[worker_id] - step.need).accelerators
-                row = (price, left, worker_id, needed)
+                row = (victims_cost, left, worker_id, needed)
                 if best is None or row[:3] < best[:3]:
                     best = row
-                if price == 0 and used.get(worker_id):
+                if victims_cost == 0 and used.get(worker_id):
                     break
             if best is None:
                 return None
-            price, _, worker_id, needed = best
-            cost += price
+            victims_cost, _, worker_id, needed = best
+            cost += victims_cost
             for victim in needed:
                 victims[id(victim)] = victim
                 for placement in victim.placements.values():
@@ -139,16 +145,16 @@
             free[worker_id] = free[worker_id] - step.need
             used[worker_id] = used.get(worker_id, 0) + 1
             chosen.append(worker_id)
-        return Eviction(tuple(chosen), tuple(victims.values()), cost)
+        return PreemptionPlan(tuple(chosen), tuple(victims.values()), cost)
 
-    def _weigh(self, unit: Unit) -> float:
+    def _estimate_cost(self, unit: Unit) -> float:
         known = self._costs.get(id(unit))
         if known is None:
-            loss = weigh_loss(unit, self._now, restart_s=self._restart_s)
+            loss = estimate_loss(unit, self._now, restart_s=self._restart_s)
             known = self._costs[id(unit)] = 1.0 + loss
         return known
 
-    def _free_on(
+    def _find_victims_on(
         self,
         unit: Unit,
         worker_id: str,
@@ -165,7 +171,7 @@
             if id(u) not in chosen
         ]
         stopped: list[Unit] = []
-        for victim in sorted(rows, key=self._weigh):
+        for victim in sorted(rows, key=self._estimate_cost):
             stopped.append(victim)
             for placement in victim.placements.values():
                 if placement.worker_id == worker_id:
--- a/src/firladder/_internal/engine/progress.py
+++ b/src/firladder/_internal/engine/progress.py
@@ -60,10 +60,12 @@
         return describe_error(error)
 
 
-def encode_progress(job: Job, workers: Mapping[str, Worker], ahead_s: float) -> bytes:
+def encode_progress(
+    job: Job, workers: Mapping[str, Worker], wall_offset_s: float
+) -> bytes:
     """Return the job's progress as it is stored.
 
-    ``ahead_s`` is Unix time less the clock of the workers' times.
+    ``wall_offset_s`` is Unix time less the clock of the workers' times.
     """
     units = tuple(
         UnitProgress(
@@ -80,7 +82,9 @@
     named = {p.worker_id for u in units for p in u.placed}
     known = [workers[w] for w in sorted(named) if w in workers]
     addresses = {w.worker_id: w.entry.address for w in known}
-    lapses = {w.worker_id: w.lapses_at + ahead_s for w in known if not w.reachable}
+    lapses = {
+        w.worker_id: w.runs_expire_at + wall_offset_s for w in known if not w.reachable
+    }
     return msgspec.msgpack.encode(
         JobProgress(job.state.value, units, addresses, job.ended_at, lapses)
     )
@@ -118,5 +122,5 @@
             placed.worker_id,
             unit.step.need,
             Phase.RECOVERED,
-            settled_at=float("-inf"),
+            last_answer_at=float("-inf"),
         )
--- a/src/firladder/_internal/engine/reports.py
+++ b/src/firladder/_internal/engine/reports.py
@@ -4,13 +4,13 @@
 from ..models.workload import WorkerEntry
 from .answers import Answers
 from .health import (
-    STALL_S,
-    WHOLE_PERCENT,
-    clear_blame,
+    DONE_PERCENT,
+    STALL_TIMEOUT_S,
+    choose_stall_timeout,
+    clear_failures,
     is_stalled,
-    measure_patience,
-    note_percent,
     record_failure,
+    record_progress,
     waits_for_members,
 )
 from .state import Phase, Placement, Unit, UnitState, Worker, find_unit
@@ -46,7 +46,7 @@
         """Give up runs whose leases have ended while nobody could reach them."""
         for worker in list(self.workers.values()):
             self._forget_if_over(worker)
-            if worker.reachable or not worker.placements or now < worker.lapses_at:
+            if worker.reachable or not worker.placements or now < worker.runs_expire_at:
                 continue
             self.note(
                 "runs lapsed",
@@ -67,7 +67,7 @@
                     continue
                 if not worker.reachable:
                     continue
-                if not is_stalled(placement, now, longer_than=STALL_S):
+                if not is_stalled(placement, now, longer_than=STALL_TIMEOUT_S):
                     continue
                 if unit.step.lasting or not unit.all_active:
                     continue
@@ -75,7 +75,7 @@
                     continue
                 # Also while the run may still go on: nothing else shall begin there.
                 quarantined = record_failure(worker, unit.job.accepted.job_id, now)
-                patience_s = measure_patience(unit, placement)
+                patience_s = choose_stall_timeout(unit, placement)
                 if not is_stalled(placement, now, longer_than=patience_s):
                     continue
                 unit.avoided.add(worker.worker_id)
@@ -85,12 +85,12 @@
                     worker=worker.worker_id,
                     quarantined=quarantined,
                 )
-                self._give_up_run(unit)
+                self._abort_run(unit)
 
     def _note_reachable(self, worker: Worker) -> None:
         if not worker.reachable:
             worker.reachable = True
-            worker.barrier = [(j, j.version) for j in self._touch_jobs(worker)]
+            worker.barrier = [(j, j.version) for j in self._mark_jobs_changed(worker)]
 
     def handle_report(
         self, worker: Worker, report: WorkerReport, *, sent_at: float, now: float
@@ -98,40 +98,40 @@
         """Take what a worker says of its runs; the look left at ``sent_at``."""
         self._note_reachable(worker)
         worker.claimed = True
-        worker.clock_ahead_s = report.clock_s - now
+        worker.clock_offset_s = report.clock_s - now
         for end in report.ended:
-            if end.number > worker.last_read:
-                worker.last_read = end.number
+            if end.number > worker.last_end_read:
+                worker.last_end_read = end.number
                 self._read_end(worker, end, now)
         registered = {(row.task, row.run) for row in report.running}
         for row in report.running:
             placement = worker.placements.get((row.task, row.run))
             if placement is None:
-                placement = self._adopt_stray(worker, row.task, row.run)
+                placement = self._adopt_orphan(worker, row.task, row.run)
             self._read_running(placement, row.checkpoint, row.percent, now)
         for placement in list(worker.placements.values()):
-            if placement.key not in registered and placement.settled_at < sent_at:
+            if placement.key not in registered and placement.last_answer_at < sent_at:
                 self._resolve_absent(worker, placement)
 
     def _read_running(
         self, placement: Placement, checkpoint: str, percent: float, now: float
     ) -> None:
         unit = placement.unit
-        placement.seen = True
+        placement.reported = True
         if placement.phase is Phase.SENT:
             self._activate(placement, now)
         elif placement.phase is Phase.RECOVERED and unit is not None:
             # Counted from now, work that an earlier leader began would look as if it
             # had just begun: the first to be stopped, though it is nearly done.
-            worked_s = self.estimate_run(unit) * percent / WHOLE_PERCENT
+            worked_s = self.estimate_run(unit) * percent / DONE_PERCENT
             self._activate(placement, now, worked_s=worked_s)
-        note_percent(placement, percent, now)
+        record_progress(placement, percent, now)
         if unit is not None:
-            self.speeds.note_progress(unit, placement, now)
+            self.speeds.learn_from_progress(unit, placement, now)
         if unit is not None and checkpoint and unit.state is UnitState.BUSY:
             unit.checkpoint = checkpoint
 
-    def _adopt_stray(self, worker: Worker, task: TaskId, run: int) -> Placement:
+    def _adopt_orphan(self, worker: Worker, task: TaskId, run: int) -> Placement:
         """Give room to a run that is not ours to have, and end it.
 
         A start that was carried out after it was given up would otherwise run
@@ -152,8 +152,8 @@
         if placement.phase is Phase.ACTIVE:
             # It was there and no end is listed: make sure that it cannot be,
             # then let the next look decide.
-            placement.seen = False
-            self._end_run_of(placement)
+            placement.reported = False
+            self._abort_run_of(placement)
             return
         self._resolve(worker, placement, None)
 
@@ -172,21 +172,21 @@
         unit = placement.unit
         if end.checkpoint and unit.state is UnitState.BUSY:
             unit.checkpoint = end.checkpoint
-        self._judge_end(worker, placement, end.ending, now)
+        self._record_outcome(worker, placement, end.ending, now)
         self._resolve(worker, placement, end.ending)
         version = job.version if job is not None else 0
         worker.unacknowledged_ends.append((end.number, job, version))
 
-    def _judge_end(
+    def _record_outcome(
         self, worker: Worker, placement: Placement, ending: Ending, now: float
     ) -> None:
         unit = placement.unit
         if unit is None:
             return
         if ending == "done":
-            clear_blame(worker)
+            clear_failures(worker)
             self._learn_runtime(unit, placement, now)
-            self.speeds.note_end(unit, placement, now)
+            self.speeds.learn_from_end(unit, placement, now)
         if ending != "failed":
             return
         unit.avoided.add(worker.worker_id)
@@ -194,7 +194,7 @@
             self.note("worker quarantined", worker=worker.worker_id, cause="failures")
 
     def _learn_runtime(self, unit: Unit, placement: Placement, now: float) -> None:
-        if not placement.whole:
+        if not placement.ran_from_start:
             return
         key = (unit.job.accepted.queue, unit.step_index)
         spent = now - placement.active_at
--- a/src/firladder/_internal/engine/runs.py
+++ b/src/firladder/_internal/engine/runs.py
@@ -23,18 +23,20 @@
 """Seconds until a stop without an answer is sent again; longer than the time
 for which its answer is awaited, so that one at a time is on its way."""
 
-Note = Callable[..., None]
+DecisionLogger = Callable[..., None]
 """Takes a decision's name and its inputs, for the log."""
 
 
-def _drop_note(_what: str, **_inputs: object) -> None:
+def _discard_decision(_what: str, **_inputs: object) -> None:
     """Take a note and do nothing with it."""
 
 
 class Runs:
     """The runs of all units on all workers, and the orders that they need."""
 
-    def __init__(self, *, lease_s: float, note: Note = _drop_note) -> None:
+    def __init__(
+        self, *, lease_s: float, note: DecisionLogger = _discard_decision
+    ) -> None:
         """Grant leases of ``lease_s`` seconds."""
         self.lease_s = lease_s
         self.jobs: dict[str, Job] = {}
@@ -67,16 +69,16 @@
         if worker.reachable:
             worker.reachable = False
             worker.unreachable_at = now
-            self._touch_jobs(worker)
+            self._mark_jobs_changed(worker)
 
-    def _touch_jobs(self, worker: Worker) -> list[Job]:
+    def _mark_jobs_changed(self, worker: Worker) -> list[Job]:
         jobs = {
             p.unit.job.accepted.job_id: p.unit.job
             for p in worker.placements.values()
             if p.unit is not None
         }
         for job in jobs.values():
-            self._touch(job)
+            self._mark_changed(job)
         return list(jobs.values())
 
     def plan_run(self, unit: Unit, workers: Iterable[str]) -> None:
@@ -91,7 +93,7 @@
             unit.placements[index] = placement
             self.workers[worker_id].placements[placement.key] = placement
             self._planned.append(placement)
-        self._touch(unit.job)
+        self._mark_changed(unit.job)
         unit.planned_version = unit.job.version
         self.note(
             "job planned",
@@ -105,7 +107,7 @@
 
     def preempt(self, unit: Unit) -> None:
         """End a unit's run so that its room becomes free; it will run again."""
-        self._give_up_run(unit)
+        self._abort_run(unit)
 
     def evacuate_domains(self, domains: frozenset[str]) -> None:
         """Take the failure domains whose workers get nothing new from now on.
@@ -157,10 +159,10 @@
             for p in w.placements.values()
             if p.phase is Phase.STOPPING
             and not p.stop_answered
-            and now - p.stop_tried_at > STOP_AGAIN_S
+            and now - p.stop_sent_at > STOP_AGAIN_S
         ]
         for placement in due:
-            placement.stop_tried_at = now
+            placement.stop_sent_at = now
         return due
 
     def describe_start(self, placement: Placement) -> StartOrder:
@@ -206,17 +208,17 @@
 
     def _end_job(self, job: Job, state: JobState) -> None:
         job.state = state
-        self._touch(job)
+        self._mark_changed(job)
         job.outcome_version = job.version
         self.note("job ended", job=job.accepted.job_id, outcome=state.value)
         self._stop_all(job)
 
     def _stop_all(self, job: Job) -> None:
         for unit in job.units:
-            self._give_up_run(unit)
+            self._abort_run(unit)
 
-    def _touch(self, job: Job) -> None:
-        job.touch()
+    def _mark_changed(self, job: Job) -> None:
+        job.mark_changed()
         self.dirty[job.accepted.job_id] = job
 
     def estimate_run(self, unit: Unit) -> float:
@@ -229,23 +231,23 @@
     ) -> None:
         unit = placement.unit
         fresh = unit is not None and not unit.checkpoint
-        placement.whole = placement.phase is Phase.SENT and fresh
-        placement.timed = placement.whole
+        placement.ran_from_start = placement.phase is Phase.SENT and fresh
+        placement.measures_speed = placement.ran_from_start
         placement.phase = Phase.ACTIVE
         placement.active_at = now - worked_s
-        placement.moved_at = now
-        if placement.settled_at in (math.inf, -math.inf):
-            placement.settled_at = now
+        placement.progressed_at = now
+        if placement.last_answer_at in (math.inf, -math.inf):
+            placement.last_answer_at = now
         if unit is not None and unit.job.state is JobState.QUEUED:
             unit.job.state = JobState.RUNNING
 
     def _order_stop(self, placement: Placement) -> None:
         placement.phase = Phase.STOPPING
-        placement.settled_at = math.inf
+        placement.last_answer_at = math.inf
         placement.stop_answered = False
         self.stops.append(placement)
 
-    def _end_run_of(self, placement: Placement) -> None:
+    def _abort_run_of(self, placement: Placement) -> None:
         """Stop a placement that cannot take part any more, and with it its run.
 
         The other members of a gang would wait for it, and hold their workers, until
@@ -253,9 +255,9 @@
         """
         self._order_stop(placement)
         if placement.unit is not None:
-            self._give_up_run(placement.unit)
+            self._abort_run(placement.unit)
 
-    def _give_up_run(self, unit: Unit) -> None:
+    def _abort_run(self, unit: Unit) -> None:
         if unit.state is UnitState.DONE:
             return
         for placement in list(unit.placements.values()):
@@ -295,7 +297,7 @@
         unit = placement.unit
         if unit is None:
             return
-        self._touch(unit.job)
+        self._mark_changed(unit.job)
         if unit.state is not UnitState.BUSY:
             return
         if ending == "done":
@@ -311,7 +313,7 @@
             worker=worker.worker_id,
             how=ending or "not there",
         )
-        self._give_up_run(unit)
+        self._abort_run(unit)
 
     def _settle(self, unit: Unit) -> None:
         """Let a unit whose run is over wait for its next one, or fail."""
@@ -333,7 +335,7 @@
         if run in unit.failed_runs:
             return
         unit.failed_runs.add(run)
-        self._touch(unit.job)
+        self._mark_changed(unit.job)
         self._check_attempts(unit)
 
     def _check_attempts(self, unit: Unit) -> None:
--- a/src/firladder/_internal/engine/shortages.py
+++ b/src/firladder/_internal/engine/shortages.py
@@ -13,7 +13,7 @@
 class Demand:
     """What a unit asks of ``pool``.
 
-    ``one_rack`` tells that all tasks must be on one rack, ``takes_s`` for how long
+    ``one_rack`` tells that all tasks must be on one rack, ``run_time_s`` for how long
     workers must be open, in seconds.
     """
 
@@ -21,13 +21,13 @@
     need: Resources
     count: int
     one_rack: bool
-    takes_s: float
+    run_time_s: float
 
-    def asks_no_less(self, other: "Demand") -> bool:
+    def dominates(self, other: "Demand") -> bool:
         """Tell whether whatever serves this wish would serve the other one as well."""
         return (
             self.count >= other.count
-            and self.takes_s >= other.takes_s
+            and self.run_time_s >= other.run_time_s
             and self.need.covers(other.need)
             and (self.one_rack or not other.one_rack)
         )
@@ -50,17 +50,17 @@
         """Forget the pass before: room may have come up since."""
         self._failed.clear()
 
-    def note(self, demand: Demand, step: Step, *, avoids: bool) -> None:
+    def note(self, demand: Demand, step: Step, *, has_exclusions: bool) -> None:
         """Note that a wish could not be served.
 
         A step that is bound to a label, a rack or a number of tasks a worker, or a unit
         that avoids workers, may have failed for that reason alone: it tells nothing.
         """
         bound = bool(step.label or step.rack or step.most_per_worker)
-        if not bound and not avoids:
+        if not bound and not has_exclusions:
             self._failed.setdefault(demand.pool, []).append(demand)
 
     def covers(self, demand: Demand) -> bool:
         """Tell whether a wish cannot be served in this pass."""
         failed = self._failed.get(demand.pool, ())
-        return any(demand.asks_no_less(other) for other in failed)
+        return any(demand.dominates(other) for other in failed)
--- a/src/firladder/_internal/engine/state.py
+++ b/src/firladder/_internal/engine/state.py
@@ -47,15 +47,18 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Placement:
-    """One task of a run on one worker; it holds room until its end is proved.
-
-    ``settled_at`` is when the last order for it was answered: a look that left
-    later and does not list the task proves that it is not there. ``whole`` says that it
-    began under this leader and from nothing, so that its times can be learned from;
-    ``timed`` that moreover its worker's speed was not read from it yet. ``seen`` says
-    that the worker has shown the run, so that it will list its end; ``may_start_late``
-    that a copy of its start had no answer, so that no answer to another copy proves
-    that it does not begin.
+    """One task of a run on one worker; it holds capacity until its end is proved.
+
+    ``last_answer_at`` is when the last order for it was answered: a poll that was sent
+    later and does not list the task proves that it is not there.
+
+    ``ran_from_start`` says that the task started under this leader and without a
+    checkpoint, so that its run time can be learned; ``measures_speed`` says that,
+    in addition, its worker's speed has not been learned from it yet.
+
+    ``reported`` says that the worker has listed the run as running, so it will list
+    its end too. ``may_start_late`` says that one copy of its start order got no
+    answer, so the answer to another copy cannot prove that the task will not start.
     """
 
     unit: "Unit | None"
@@ -64,15 +67,15 @@
     worker_id: str
     need: Resources
     phase: Phase
-    settled_at: float = math.inf
+    last_answer_at: float = math.inf
     active_at: float = 0.0
     percent: float = 0.0
-    moved_at: float = 0.0
-    whole: bool = False
-    timed: bool = False
-    stop_tried_at: float = -math.inf
+    progressed_at: float = 0.0
+    ran_from_start: bool = False
+    measures_speed: bool = False
+    stop_sent_at: float = -math.inf
     stop_answered: bool = False
-    seen: bool = False
+    reported: bool = False
     may_start_late: bool = False
 
     @property
@@ -93,7 +96,7 @@
     ``failed_runs`` names the runs of which a task failed. They are numbers, not a
     count: a run's failure may be listed by several members, again to a successor, and
     long after the run was given up. A unit that was stopped for urgent work is not
-    planned again before ``rests_until``.
+    planned again before ``backoff_until``.
     """
 
     job: "Job"
@@ -108,7 +111,7 @@
     ready_at: float = -1.0
     placements: dict[int, Placement] = dataclasses.field(default_factory=dict)
     planned_version: int = 0
-    rests_until: float = 0.0
+    backoff_until: float = 0.0
     avoided: set[str] = dataclasses.field(default_factory=set)
 
     @property
@@ -174,7 +177,7 @@
         """Tell whether the job's outcome is durable, and so may be shown."""
         return self.terminal and self.durable_version >= self.outcome_version
 
-    def touch(self) -> None:
+    def mark_changed(self) -> None:
         """Note a change that must become durable."""
         self.version += 1
 
@@ -208,7 +211,7 @@
 
     ``granted_until`` is when the leases that arrived have ended, ``open_grants``
     when those without an answer have. ``renewed_until`` is the same without
-    allowance. ``clock_ahead_s`` is the worker's clock less the leader's.
+    allowance. ``clock_offset_s`` is the worker's clock less the leader's.
     """
 
     entry: WorkerEntry
@@ -221,9 +224,9 @@
     renewed_until: float = 0.0
     grants_sent: int = 0
     open_grants: dict[int, float] = dataclasses.field(default_factory=dict)
-    clock_ahead_s: float | None = None
-    last_read: int = 0
-    last_acknowledged: int = 0
+    clock_offset_s: float | None = None
+    last_end_read: int = 0
+    last_end_acknowledged: int = 0
     unacknowledged_ends: list[tuple[int, "Job | None", int]] = dataclasses.field(
         default_factory=list
     )
@@ -243,7 +246,7 @@
     @property
     def awaits_proof(self) -> bool:
         """Tell whether a run was stopped of which the worker may list no end."""
-        return any(p.stop_answered and not p.seen for p in self.placements.values())
+        return any(p.stop_answered and not p.reported for p in self.placements.values())
 
     @property
     def rack(self) -> str:
@@ -264,7 +267,7 @@
         )
 
     @property
-    def lapses_at(self) -> float:
+    def runs_expire_at(self) -> float:
         """Return when all that runs there has ended if no call reaches it."""
         return max(self.granted_until, *self.open_grants.values(), 0.0)
 
@@ -286,7 +289,7 @@
 
     def find_last_durable_end(self) -> int:
         """Return the highest end up to which all are durable."""
-        durable_version = self.last_acknowledged
+        durable_version = self.last_end_acknowledged
         for number, job, version in self.unacknowledged_ends:
             if job is not None and job.durable_version < version:
                 break
@@ -295,7 +298,9 @@
 
     def drop_acknowledged_ends(self, number: int) -> None:
         """Note that the worker was told to forget its ends up to ``number``."""
-        self.last_acknowledged = max(self.last_acknowledged, number)
+        self.last_end_acknowledged = max(self.last_end_acknowledged, number)
         self.unacknowledged_ends = [
-            row for row in self.unacknowledged_ends if row[0] > self.last_acknowledged
+            row
+            for row in self.unacknowledged_ends
+            if row[0] > self.last_end_acknowledged
         ]
