--- a/src/firladder/_internal/engine/answers.py
+++ b/src/firladder/_internal/engine/answers.py
@@ -1,4 +1,4 @@
-"""What the answers to orders, or their lack, say of the runs they were for."""
+"""Apply the answers of workers to start and stop orders, and missing answers."""
 
 import math
 
@@ -16,16 +16,16 @@
 from .state import Phase, Placement, Worker
 
 FULL_WORKER_BACKOFF_S = 1.0
-"""Seconds without new work for a worker that said it has no room."""
+"""How long a worker that reported no free capacity gets no new work."""
 
 
 class Answers(Runs):
-    """Takes the answers of workers to starts and stops."""
+    """Updates placements and workers from the answers to start and stop orders."""
 
     def handle_start_answer(
         self, placement: Placement, answer: float | OrderFailure, now: float
     ) -> None:
-        """Take the answer to a start."""
+        """Apply the answer to a start order; a float means that it was accepted."""
         worker = self.workers.get(placement.worker_id)
         if worker is None or placement.key not in worker.placements:
             return
@@ -69,7 +69,7 @@
     def handle_stop_answer(
         self, placement: Placement, answer: float | OrderFailure, now: float
     ) -> None:
-        """Take the answer to a stop."""
+        """Apply the answer to a stop order; a float means that it was accepted."""
         worker = self.workers.get(placement.worker_id)
         if worker is None:
             return
--- a/src/firladder/_internal/engine/core.py
+++ b/src/firladder/_internal/engine/core.py
@@ -1,4 +1,4 @@
-"""The scheduling core: events in, orders out, everything else passed in."""
+"""The scheduling core: takes events and returns orders; time is passed in."""
 
 from collections.abc import Mapping
 
@@ -10,10 +10,10 @@
 
 
 class Core(Reports):
-    """All that a leader decides during its term: jobs in, outcomes out."""
+    """Everything that a leader decides during its term, from job to outcome."""
 
     def add_job(self, accepted: AcceptedJob, progress: JobProgress | None) -> Job:
-        """Take a job into the schedule, at its recorded progress."""
+        """Add a job to the schedule, at its recorded progress; return it."""
         known = self.jobs.get(accepted.job_id)
         if known is not None:
             return known
@@ -43,8 +43,8 @@
                     self.workers[placement.worker_id] = worker
                 worker.placements[placement.key] = placement
             if unit.lacks_members:
-                # The earlier leader had given the run up: its other members would
-                # hold their workers until they end alone.
+                # The former leader had aborted this run. Its remaining members would
+                # hold their workers until they end by themselves.
                 self._abort_run(unit)
         if job.terminal:
             self._stop_all(job)
@@ -52,12 +52,12 @@
     def restore_expiries(
         self, recorded: Mapping[str, JobProgress], *, now: float, wall: float
     ) -> None:
-        """Take over until when the runs of each worker may last.
+        """Restore when the leases granted by former leaders expire.
 
-        After an earlier leader's end a worker may be gone for good. Where the
-        records say when its last lease ends, that is waited for; otherwise the
-        longest that the earlier leader can have granted, which may keep a task
-        waiting for a long while with all workers idle.
+        A worker may have disappeared together with the former leader. Its runs count
+        as ended at the expiry in the records, or, without one, when the longest lease
+        that a former leader can have granted expires. The latter may keep a task
+        waiting for long while all workers are idle.
         """
         unknown = estimate_inherited_expiry(now=now, lease_s=self.lease_s)
         for worker in self.workers.values():
@@ -81,7 +81,7 @@
             worker.unreachable_at = now
 
     def cancel_job(self, job_id: str) -> None:
-        """End a job on its caller's wish; unknown jobs are remembered."""
+        """End a job at its caller's request; remember the id of an unknown job."""
         job = self.jobs.get(job_id)
         if job is None:
             self.early_cancels.add(job_id)
@@ -91,34 +91,34 @@
         job.cancelled = True
         if job.settled:
             return
-        # An outcome that is not durable was shown to nobody. Nodes that cannot
-        # ask this leader read the records and show the job as cancelled, so any
-        # other outcome would contradict what a caller has seen.
+        # An outcome that is not durable has not been shown to anybody. Nodes that
+        # cannot reach this leader read the records and show the job as cancelled, so
+        # any other outcome would contradict what a caller has seen.
         self._end_job(job, JobState.CANCELLED)
 
     def forget_job(self, job_id: str) -> None:
-        """Drop a job whose time of being remembered is over."""
+        """Drop a job whose retention time is over."""
         self.jobs.pop(job_id, None)
         self.dirty.pop(job_id, None)
         self.early_cancels.discard(job_id)
         self.speeds.forget_job(job_id)
 
     def read_state(self, job_id: str) -> JobState | None:
-        """Return what callers may be told of a job, or None if it is unknown."""
+        """Return the state to show to callers, or None if the job is unknown."""
         job = self.jobs.get(job_id)
         if job is None:
             return None
         if job.state is JobState.CANCELLED:
-            # The cancellation itself is durable before the leader hears of it.
+            # A cancellation is durable before the leader learns of it.
             return job.state
         if job.terminal and not job.settled:
-            # An outcome that a successor does not know must not be shown: it
-            # would run the job again, or show it as running.
+            # An outcome that is not durable must not be shown: a successor would not
+            # know it, and would run the job again or show it as running.
             return JobState.RUNNING
         return job.state
 
     def count_pending(self, queue: str) -> int:
-        """Return the jobs of a queue for which no task has started."""
+        """Return how many jobs of a queue have no started task."""
         return sum(
             job.state is JobState.QUEUED and job.accepted.queue == queue
             for job in self.jobs.values()
--- a/src/firladder/_internal/engine/estimates.py
+++ b/src/firladder/_internal/engine/estimates.py
@@ -1,48 +1,48 @@
-"""How long work takes and lasts, and which workers a waiting gang can have."""
+"""Estimate run times, and limit backfilling in front of waiting gangs."""
 
 from .core import Core
 from .placement import Candidate, count_fitting_if_empty, group_by_rack, list_suitable
 from .state import Phase, Unit
 
 ORPHAN_STOP_S = 0.5
-"""Seconds until a run that is not ours to have is gone: a stop and a look."""
+"""Time until an orphan run has ended: one stop order and one poll."""
 
 
 class Estimates:
-    """Expected times, learned from what ended; declared times are far off."""
+    """Expected run times, learned from ended tasks: declared times are far off."""
 
     def __init__(self, core: Core) -> None:
-        """Learn from ``core``."""
+        """Estimate from the run times that ``core`` has learned."""
         self._core = core
-        self._left: dict[int, float] = {}
-        self._free: dict[str, float] = {}
+        self._remaining: dict[int, float] = {}
+        self._time_to_free: dict[str, float] = {}
 
     def begin_pass(self) -> None:
-        """Forget what was worked out for the pass before.
+        """Clear the cached estimates of the previous pass.
 
-        A full pool has some thousand tasks, and each waiting gang asks for all of
-        them: worked out anew each time, that was half of what a pass costs.
+        A full pool runs about a thousand tasks, and each waiting gang needs the
+        estimates of all of them. Without the cache they took half of a pass.
         """
-        self._left.clear()
-        self._free.clear()
+        self._remaining.clear()
+        self._time_to_free.clear()
 
     def invalidate(self, unit: Unit) -> None:
-        """Note that a unit was planned or stopped within this pass."""
-        self._left.pop(id(unit), None)
+        """Drop the cached estimates of a unit that was planned or stopped."""
+        self._remaining.pop(id(unit), None)
         for placement in unit.placements.values():
-            self._free.pop(placement.worker_id, None)
+            self._time_to_free.pop(placement.worker_id, None)
 
     def estimate_run(self, unit: Unit) -> float:
-        """Return how long a run takes, in seconds."""
+        """Return the expected duration of a run, in seconds."""
         return self._core.estimate_run(unit)
 
     def estimate_remaining(self, unit: Unit | None, now: float) -> float:
-        """Return in how many seconds a unit's run is likely to be done."""
+        """Return in how many seconds a unit's run is expected to end."""
         if unit is None:
             return ORPHAN_STOP_S
-        known = self._left.get(id(unit))
+        known = self._remaining.get(id(unit))
         if known is None:
-            known = self._left[id(unit)] = self._compute_remaining(unit, now)
+            known = self._remaining[id(unit)] = self._compute_remaining(unit, now)
         return known
 
     def _compute_remaining(self, unit: Unit, now: float) -> float:
@@ -61,11 +61,11 @@
         return max(0.2, expected - elapsed)
 
     def estimate_time_to_free(self, candidate: Candidate, now: float) -> float:
-        """Return in how many seconds all work on a worker is likely to be done."""
-        known = self._free.get(candidate.worker_id)
+        """Return in how many seconds all tasks on a worker are expected to end."""
+        known = self._time_to_free.get(candidate.worker_id)
         if known is None:
             worker = self._core.workers[candidate.worker_id]
-            known = self._free[candidate.worker_id] = max(
+            known = self._time_to_free[candidate.worker_id] = max(
                 (
                     self.estimate_remaining(p.unit, now)
                     for p in worker.placements.values()
@@ -75,11 +75,12 @@
         return known
 
     def limit_backfill(self, unit: Unit, pool: list[Candidate], now: float) -> bool:
-        """Keep the workers that the gang can have soonest from longer work.
+        """Limit backfilling on the workers where the gang can start soonest.
 
-        Answers a steady stream of small tasks beside a large gang: each takes the
-        room that one before it leaves, and the gang would wait for ever. Tasks
-        that end before the gang can begin still run there.
+        Without this, a steady stream of small tasks starves a large gang: each task
+        takes the capacity that an earlier one frees. Tasks that are expected to end
+        before the gang can start may still run there. Return whether there are
+        enough workers for the gang.
         """
         step = unit.step
         suitable = list_suitable(step, pool, unit.avoided)
@@ -89,18 +90,18 @@
             capacity = sum(count_fitting_if_empty(c, step.need) for c in group)
             if capacity < len(unit.indices):
                 continue
-            frees = sorted(
+            by_time = sorted(
                 ((self.estimate_time_to_free(c, now), c) for c in group),
                 key=lambda row: row[0],
             )
             chosen: list[Candidate] = []
-            room = 0
+            fitting = 0
             at = 0.0
-            for free_at, candidate in frees:
+            for free_at, candidate in by_time:
                 chosen.append(candidate)
-                room += count_fitting_if_empty(candidate, step.need)
+                fitting += count_fitting_if_empty(candidate, step.need)
                 at = free_at
-                if room >= len(unit.indices):
+                if fitting >= len(unit.indices):
                     break
             if best is None or at < best[0]:
                 best = (at, chosen)
--- a/src/firladder/_internal/engine/evacuation.py
+++ b/src/firladder/_internal/engine/evacuation.py
@@ -1,4 +1,4 @@
-"""Choose the work that must move off workers which leave."""
+"""Choose the units that must be moved off draining workers."""
 
 from collections.abc import Iterator
 
@@ -7,21 +7,21 @@
 from .state import Phase, Unit, UnitState
 
 CHECKPOINT_STOP_S = 0.8
-"""Seconds before a worker leaves at which work that saves its progress is stopped:
-the stop takes up to 0.2 s, and a look must still see its end and checkpoint."""
+"""How long before a worker leaves work that saves checkpoints is stopped there: the
+stop takes up to 0.2 s, and a poll must still report its end and checkpoint."""
 
 DRAIN_SLACK_S = 1.0
-"""Seconds that a worker is taken to stay beyond the least that it names; mostly it
-is a little longer."""
+"""How much longer than the minimum that it announces a draining worker is assumed to
+stay; it usually stays a little longer."""
 
 
 def list_units_to_move(core: Core, estimates: Estimates, now: float) -> Iterator[Unit]:
-    """Yield the units that must be stopped now.
+    """Yield the units that must be stopped now; stop each before asking for the next.
 
-    Answers workers that are replaced in turn or taken away at short notice: what still
-    runs there when they go is lost, and known to be lost only when its lease has ended.
-    Work that saves its progress is stopped at the last moment, work that loses
-    everything anyway at once. Each unit is to be stopped before the next is asked for.
+    Workers are replaced in a rolling update or withdrawn at short notice. What still
+    runs there when they leave is lost, and counts as lost only when its lease has
+    expired. Work that saves checkpoints is stopped at the last moment; work that
+    would lose everything anyway is stopped at once.
     """
     for worker in list(core.workers.values()):
         left_s = worker.measure_time_left(now)
--- a/src/firladder/_internal/engine/health.py
+++ b/src/firladder/_internal/engine/health.py
@@ -1,4 +1,4 @@
-"""Judge workers by what becomes of the tasks that they start."""
+"""Detect faulty workers by the failures and stalls of their tasks."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -6,31 +6,31 @@
 from .state import Placement, Unit, Worker
 
 QUARANTINE_AFTER_JOBS = 2
-"""Distinct jobs that must fail on a worker before it gets no more work. Tasks
-fail by their own fault now and then, and a hopeless job fails everywhere; two
-different jobs in a row point to the worker."""
+"""Distinct jobs that must fail on a worker before it is quarantined. Single tasks fail
+through their own fault, and a broken job fails everywhere; failures of two different
+jobs in a row point to the worker."""
 
 FAILURE_WINDOW_S = 12.0
-"""Seconds for which a failure counts; a few run times of a task."""
+"""How long a failure counts: a few run times of a task."""
 
 QUARANTINE_S = 6.0
-"""Seconds without new work; then one more blame puts the worker back in."""
+"""How long a quarantined worker gets no new work. After that, one more failure puts
+it back into quarantine."""
 
 STALL_TIMEOUT_S = 4.5
-"""Seconds without any progress after which a task counts as one that stands still. A
-task takes some ten seconds and reports whole per cent; one eight times slower still
-moves."""
+"""Time without progress after which a task counts as stalled. A task takes about ten
+seconds and reports whole per cent; one that is eight times slower still progresses."""
 
 DONE_PERCENT = 100
 """Progress of a task that is done; a member of a gang then waits for the others."""
 
 MAX_QUARANTINED_SHARE = 0.34
-"""Share of a pool that may be in quarantine: if more fail, the cause is
-elsewhere, and the work is better tried than held back."""
+"""Share of a pool that may be in quarantine. If more workers fail, the cause is
+elsewhere, and the quarantine is ignored."""
 
 
 def record_failure(worker: Worker, job_id: str, now: float) -> bool:
-    """Note a failure on a worker; return whether it is now in quarantine."""
+    """Record a failure of a job on a worker; return whether it is now quarantined."""
     worker.failed_jobs = {
         job: at for job, at in worker.failed_jobs.items() if now - at < FAILURE_WINDOW_S
     }
@@ -42,28 +42,28 @@
 
 
 def clear_failures(worker: Worker) -> None:
-    """Forget failures after a task has ended well."""
+    """Forget a worker's failures after a task has succeeded."""
     worker.failed_jobs.clear()
 
 
 def record_progress(placement: Placement, percent: float, now: float) -> None:
-    """Note a task's progress."""
+    """Record a task's progress, and when it last changed."""
     if percent != placement.percent or not placement.progressed_at:
         placement.percent = percent
         placement.progressed_at = now
 
 
 def is_stalled(placement: Placement, now: float, *, longer_than: float) -> bool:
-    """Tell whether a task that is at work has not progressed for so many seconds."""
+    """Return whether an active task made no progress for that many seconds."""
     return bool(placement.progressed_at) and now - placement.progressed_at > longer_than
 
 
 def waits_for_members(unit: Unit, placement: Placement) -> bool:
-    """Tell whether a member of a gang is done and others are still at work.
+    """Return whether a gang member is done while other members still run.
 
-    The members of a gang end together. On a fast worker one is done long before a slow
-    one, and shows no progress since: taken for one that stands still, it would end a
-    run of which nearly all work is done, and its worker be blamed for it.
+    The members of a gang end together. A member on a fast worker is done early and
+    then makes no progress. If it counted as stalled, a run that is almost complete
+    would be aborted, and the failure recorded against its worker.
     """
     if placement.percent < DONE_PERCENT:
         return False
@@ -71,11 +71,12 @@
 
 
 def choose_stall_timeout(unit: Unit, placement: Placement) -> float:
-    """Return for how long a run may stand still before it is given up, in seconds.
+    """Return for how long a run may be stalled before it is aborted, in seconds.
 
-    Workers that hang mostly go on after some seconds. Giving up loses what the run has
-    done and not saved, so it waits for as long as it had worked: whenever the worker
-    comes back, no more than twice the better of the two choices is lost.
+    Workers that hang usually continue after some seconds, and aborting loses the work
+    that is not saved. So a run without checkpoints may be stalled for as long as it
+    had worked before: whenever the worker continues, at most twice the loss of the
+    better choice is lost.
     """
     if unit.step.checkpoints:
         return STALL_TIMEOUT_S
@@ -83,10 +84,10 @@
 
 
 def find_suspect_pools(workers: Iterable[Worker], now: float) -> set[str]:
-    """Return the pools of which too many workers are in quarantine.
+    """Return the pools in which too many workers are quarantined.
 
-    Answers a wave of jobs that fail everywhere: held back for it, a pool would do
-    no work at all, though nothing is wrong with its workers.
+    A series of jobs that fail everywhere would otherwise quarantine all workers of a
+    pool, although nothing is wrong with them.
     """
     counts: Counter[str] = Counter()
     held: Counter[str] = Counter()
--- a/src/firladder/_internal/engine/planning.py
+++ b/src/firladder/_internal/engine/planning.py
@@ -101,7 +101,7 @@
         waiting = sorted(
             self._list_waiting(now, wall), key=lambda unit: self._rank(unit, wall)
         )
-        self._reservations.hold(
+        self._reservations.apply(
             waiting,
             itertools.chain.from_iterable(candidates.values()),
             now=now,
--- a/src/firladder/_internal/engine/reservations.py
+++ b/src/firladder/_internal/engine/reservations.py
@@ -1,4 +1,4 @@
-"""Room that is being made by stopping work, and for whom it is kept."""
+"""Capacity freed by preemption, reserved for the units it was freed for."""
 
 import dataclasses
 from collections.abc import Iterable, Mapping, Sequence
@@ -7,27 +7,27 @@
 from .state import Placement, Unit, Worker
 
 RESERVATION_S = 1.5
-"""Seconds for which room made by an eviction is kept for the unit that it was
-made for; stops take some 200 ms, and a look to see the end."""
+"""How long capacity freed by a preemption stays reserved for the unit it was freed
+for. Stopping a task takes about 200 ms, and a poll must then report the end."""
 
 MAX_RESERVATION_S = 5.0
-"""The same while stopped work still holds it: a leader behind a full link, or one with
-hundreds of stops to send, sees their ends late."""
+"""The same while stopped tasks still hold the capacity: a leader behind a saturated
+link, or with hundreds of stops to send, learns of the ends late."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reservation:
-    """Room that is being made: where, since when, and what still has to go."""
+    """Workers reserved for a unit, and the placements that were stopped for it."""
 
     workers: tuple[str, ...]
     made_at: float
     stopped: tuple[Placement, ...]
 
     def holds(self, now: float, workers: Mapping[str, Worker]) -> bool:
-        """Tell whether the room is still kept.
+        """Return whether the reservation is still in force.
 
-        Given up while the stops are on their way, it would be made once more
-        somewhere else: the work of one urgent gang then stops that of three.
+        If it expired while the stops are in flight, the unit would preempt again
+        elsewhere: one urgent gang would then stop the work of three.
         """
         if now < self.made_at + RESERVATION_S:
             return True
@@ -38,25 +38,25 @@
 
 
 class Reservations:
-    """The claims of one planner, from one pass to the next."""
+    """The reservations of one planner, kept from pass to pass."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without reservations."""
         self._reservations: dict[int, Reservation] = {}
 
     def add(self, unit: Unit, reservation: Reservation) -> None:
-        """Keep room for a unit."""
+        """Add the reservation of a unit."""
         self._reservations[id(unit)] = reservation
 
     def find(self, unit: Unit) -> Reservation | None:
-        """Return what is kept for a unit."""
+        """Return a unit's reservation, or None."""
         return self._reservations.get(id(unit))
 
     def drop(self, unit: Unit) -> None:
-        """Keep nothing for a unit any more."""
+        """Remove a unit's reservation, if it has one."""
         self._reservations.pop(id(unit), None)
 
-    def hold(
+    def apply(
         self,
         waiting: Sequence[Unit],
         candidates: Iterable[Candidate],
@@ -64,7 +64,7 @@
         now: float,
         workers: Mapping[str, Worker],
     ) -> None:
-        """Take what is kept off the room of a pass; drop claims that have ended."""
+        """Drop expired reservations; deduct the others from the free capacity."""
         live = {id(u) for u in waiting}
         self._reservations = {
             key: reservation
@@ -84,10 +84,10 @@
 
 
 def is_capacity_free(reservation: Reservation, pool: Sequence[Candidate]) -> bool:
-    """Tell whether all of a claim's room is there.
+    """Return whether all of the reserved capacity is free.
 
-    The claim's own room was taken off before; what is left below zero is room that
-    stopped work has not given back yet.
+    The reservation itself is already deducted from ``free``: a negative amount is
+    capacity that stopped tasks have not released yet.
     """
     frees = (c.free for c in pool if c.worker_id in reservation.workers)
     return all(
