--- a/features/steps/engine_days_steps.py
+++ b/features/steps/engine_days_steps.py
@@ -145,7 +145,7 @@
 class ForgetfulShortages(Shortages):
     """Looks at each worker for each wish."""
 
-    def covers(self, demand):
+    def rules_out(self, demand):
         return False
 
 
--- a/src/firladder/_internal/engine/core.py
+++ b/src/firladder/_internal/engine/core.py
@@ -67,15 +67,15 @@
                 for job_id in jobs
                 if job_id in recorded
             ]
-            lapses = [lapse for lapse in known if lapse is not None]
+            expiries = [expiry for expiry in known if expiry is not None]
             if not jobs:
                 continue
-            if len(lapses) < len(jobs):
+            if len(expiries) < len(jobs):
                 worker.granted_until = unknown
                 continue
             worker.granted_until = min(
                 unknown + LATE_ORDER_S,
-                convert_recorded_expiry(max(lapses), now=now, wall=wall),
+                convert_recorded_expiry(max(expiries), now=now, wall=wall),
             )
             worker.reachable = False
             worker.unreachable_at = now
--- a/src/firladder/_internal/engine/estimates.py
+++ b/src/firladder/_internal/engine/estimates.py
@@ -40,10 +40,10 @@
         """Return in how many seconds a unit's run is expected to end."""
         if unit is None:
             return ORPHAN_STOP_S
-        known = self._remaining.get(id(unit))
-        if known is None:
-            known = self._remaining[id(unit)] = self._compute_remaining(unit, now)
-        return known
+        cached = self._remaining.get(id(unit))
+        if cached is None:
+            cached = self._remaining[id(unit)] = self._compute_remaining(unit, now)
+        return cached
 
     def _compute_remaining(self, unit: Unit, now: float) -> float:
         expected = self.estimate_run(unit)
@@ -53,26 +53,26 @@
         elapsed = now - max(p.active_at for p in active)
         percent = max(p.percent for p in active)
         if percent >= 20:
-            since = max(p.progressed_at for p in active) - max(
+            measured_s = max(p.progressed_at for p in active) - max(
                 p.active_at for p in active
             )
-            total = max(since, 0.1) * 100 / percent
+            total = max(measured_s, 0.1) * 100 / percent
             return max(0.0, total - elapsed)
         return max(0.2, expected - elapsed)
 
     def estimate_time_to_free(self, candidate: Candidate, now: float) -> float:
         """Return in how many seconds all tasks on a worker are expected to end."""
-        known = self._time_to_free.get(candidate.worker_id)
-        if known is None:
+        cached = self._time_to_free.get(candidate.worker_id)
+        if cached is None:
             worker = self._core.workers[candidate.worker_id]
-            known = self._time_to_free[candidate.worker_id] = max(
+            cached = self._time_to_free[candidate.worker_id] = max(
                 (
                     self.estimate_remaining(p.unit, now)
                     for p in worker.placements.values()
                 ),
                 default=0.0,
             )
-        return known
+        return cached
 
     def limit_backfill(self, unit: Unit, pool: list[Candidate], now: float) -> bool:
         """Limit backfilling on the workers where the gang can start soonest.
@@ -96,15 +96,15 @@
             )
             chosen: list[Candidate] = []
             fitting = 0
-            at = 0.0
-            for free_at, candidate in by_time:
+            start_in_s = 0.0
+            for free_in_s, candidate in by_time:
                 chosen.append(candidate)
                 fitting += count_fitting_if_empty(candidate, step.need)
-                at = free_at
+                start_in_s = free_in_s
                 if fitting >= len(unit.indices):
                     break
-            if best is None or at < best[0]:
-                best = (at, chosen)
+            if best is None or start_in_s < best[0]:
+                best = (start_in_s, chosen)
         if best is None:
             return False
         for candidate in best[1]:
--- a/src/firladder/_internal/engine/idleness.py
+++ b/src/firladder/_internal/engine/idleness.py
@@ -1,4 +1,4 @@
-"""Find work that stands still beside a pool that is mostly idle."""
+"""Find jobs that are starved in a pool that is mostly idle."""
 
 from collections.abc import Iterable, Mapping
 
@@ -6,16 +6,16 @@
 from .state import Unit, Worker
 
 IDLE_SHARE = 0.5
-"""Share of a pool in use, below which it counts as idle: holding workers free for one
-gang, or waiting for one rack, then keeps more from work than it ever gives back."""
+"""Share of a pool in use below which it counts as idle. Protecting a gang from
+backfilling, or waiting for one rack, then wastes more capacity than it gains."""
 
 IGNORE_BACKFILL_LIMIT_AFTER_S = 4.0
-"""Seconds that a job which is not urgent stands still in an idle pool while workers
-are kept for others; then it takes them."""
+"""How long a job that is not urgent waits in an idle pool for workers on which
+backfilling is limited; then it may use them."""
 
 SPREAD_IF_IDLE_AFTER_S = 10.0
-"""Seconds that it stands still there for want of its rack: elsewhere it takes several
-times as long, and a rack often comes free within the run time of a task."""
+"""How long it waits there for its rack before it may be spread. Spread over racks it
+takes several times as long, and a rack often becomes free within a task's run time."""
 
 
 def find_idle_pools(
@@ -23,7 +23,7 @@
 ) -> set[str]:
     """Return the pools of which less than ``IDLE_SHARE`` is in use.
 
-    ``free_capacity`` has what is free on each worker, by its id.
+    ``free_capacity`` maps the id of each worker to its free capacity.
     """
     capacity: dict[str, Resources] = {}
     free: dict[str, Resources] = {}
@@ -35,31 +35,31 @@
         free[pool] = free.get(pool, Resources()) + free_capacity[worker.worker_id]
     return {
         pool
-        for pool, whole in capacity.items()
-        if min(_list_shares(free[pool], whole), default=0.0) > 1 - IDLE_SHARE
+        for pool, total in capacity.items()
+        if min(_list_shares(free[pool], total), default=0.0) > 1 - IDLE_SHARE
     }
 
 
 def is_starved(unit: Unit, now: float, *, longer_than: float) -> bool:
-    """Tell whether a job that is not urgent has had nothing at work for so long.
+    """Return whether a job that is not urgent has waited that long with nothing placed.
 
-    Answers the end of a burst of wide gangs: three of them kept most workers for
-    themselves, each set waiting for its last worker, and small work and other gangs
-    waited beside a pool that was more than half free, some for good.
+    This happened at the end of a burst of wide gangs: backfilling was limited on most
+    workers for three of them, each of which waited for its last worker. Small jobs and
+    other gangs waited, some for ever, while more than half of the pool was free.
     """
     if unit.job.accepted.priority == 0 or now - unit.ready_at <= longer_than:
         return False
     return not any(other.placements for other in unit.job.units)
 
 
-def _list_shares(part: Resources, whole: Resources) -> list[float]:
-    """Return the share of each kind of room that there is."""
+def _list_shares(part: Resources, capacity: Resources) -> list[float]:
+    """Return ``part`` as a share of ``capacity``, for each resource that there is."""
     return [
         amount / total
         for amount, total in (
-            (part.cpu_milli, whole.cpu_milli),
-            (part.memory_mb, whole.memory_mb),
-            (part.accelerators, whole.accelerators),
+            (part.cpu_milli, capacity.cpu_milli),
+            (part.memory_mb, capacity.memory_mb),
+            (part.accelerators, capacity.accelerators),
         )
         if total
     ]
--- a/src/firladder/_internal/engine/placement.py
+++ b/src/firladder/_internal/engine/placement.py
@@ -8,15 +8,15 @@
 from ..models.workload import Resources, Step
 
 UNBOUNDED = 1 << 30
-"""More tasks than any worker holds."""
+"""A task count that is larger than any worker can hold."""
 
 
 @dataclasses.dataclass(slots=True)
 class Candidate:
-    """A worker that may get tasks, with what is free there in this pass.
+    """A worker that may get tasks, with its free capacity in this pass.
 
-    ``backfill_window_s`` is for how long it may be used before it is needed for a gang
-    that waits; ``slowness`` is how many times as long a task takes there.
+    ``backfill_window_s`` is for how long it may be used until a waiting gang needs it;
+    ``slowness`` is the run time of a task there relative to a usual worker.
     """
 
     worker_id: str
@@ -29,34 +29,35 @@
 
 
 def count_fitting_if_empty(candidate: Candidate, need: Resources) -> int:
-    """Return how many like tasks an empty worker holds."""
+    """Return how many tasks of this size fit on the worker if it is empty."""
     return count_fitting(candidate.capacity, need)
 
 
 def count_fitting(free: Resources, need: Resources) -> int:
-    """Return how many like tasks fit into free room."""
-    # Asked for each worker by each unit that waits: a list made here only to be
-    # dropped was a third of a pass over a large pool.
-    room = UNBOUNDED
+    """Return how many tasks of this size fit into the free capacity."""
+    # This runs for each worker and each waiting unit: building a list of the limits
+    # here took a third of a pass over a large pool.
+    fitting = UNBOUNDED
     if need.cpu_milli:
-        room = free.cpu_milli // need.cpu_milli
+        fitting = free.cpu_milli // need.cpu_milli
     if need.memory_mb:
-        room = min(room, free.memory_mb // need.memory_mb)
+        fitting = min(fitting, free.memory_mb // need.memory_mb)
     if need.accelerators:
-        room = min(room, free.accelerators // need.accelerators)
-    return max(0, room) if room < UNBOUNDED else 1
+        fitting = min(fitting, free.accelerators // need.accelerators)
+    return max(0, fitting) if fitting < UNBOUNDED else 1
 
 
 def rank_fit(
     candidate: Candidate, free: Resources, need: Resources, *, fast_first: bool = False
 ) -> tuple[float, int, int, str]:
-    """Rank a worker with ``free`` room for a task; the least rank is the best.
+    """Rank a worker with ``free`` capacity for a task; the lowest rank is the best.
 
-    Answers mixed loads of 1 and 8 accelerators: small tasks go where the least
-    is left, so that whole workers stay free for large ones, which otherwise
-    wait until a worker empties by chance. ``fast_first`` puts the worker's speed
-    before that: urgent work has half its own time to spare, and a slow worker takes
-    most of it.
+    This is best fit: with tasks of 1 and of 8 accelerators, small tasks go where they
+    leave the least capacity, so that whole workers stay free for large tasks. Those
+    would otherwise wait until a worker becomes empty by chance.
+
+    ``fast_first`` ranks by the worker's speed first: urgent work has only half of its
+    run time to spare, and a slow worker uses up most of that.
     """
     left = free - need
     return (
@@ -76,7 +77,8 @@
 ) -> list[Candidate]:
     """Return the workers that the step may use for ``run_time_s`` seconds.
 
-    Its label, its past failures, and gangs that wait for a worker rule some out.
+    Workers are excluded by the step's label, by earlier failures there (``avoided``),
+    and by gangs that wait for them.
     """
     return [
         c
@@ -89,12 +91,12 @@
 
 
 def fits_one_rack(step: Step, count: int, candidates: Sequence[Candidate]) -> bool:
-    """Tell whether some rack could hold all tasks if it were empty."""
+    """Return whether some rack could hold all tasks if it were empty."""
     return measure_largest_rack(step.need, candidates) >= count
 
 
 def measure_largest_rack(need: Resources, candidates: Sequence[Candidate]) -> int:
-    """Return how many like tasks the largest rack would hold if it were empty."""
+    """Return how many tasks of this size fit on the largest rack if it is empty."""
     return max(
         (
             sum(count_fitting_if_empty(c, need) for c in rack)
@@ -105,7 +107,7 @@
 
 
 def group_by_rack(candidates: Sequence[Candidate]) -> list[list[Candidate]]:
-    """Return the workers rack by rack."""
+    """Return the workers grouped by rack."""
     ordered = sorted(candidates, key=lambda c: (c.rack, c.worker_id))
     grouped = itertools.groupby(ordered, key=lambda c: c.rack)
     return [list(group) for _, group in grouped]
@@ -119,9 +121,9 @@
     *,
     fast_first: bool = False,
 ) -> list[str] | None:
-    """Return a worker for each of ``count`` tasks, or None if some have no room.
+    """Return a worker for each of ``count`` tasks, or None if not all of them fit.
 
-    ``taken`` tells how many tasks of the step each worker has already.
+    ``taken`` maps workers to the number of the step's tasks that they already have.
     """
     if not _may_fit(step, count, candidates):
         return None
@@ -147,13 +149,13 @@
 
 
 def _may_fit(step: Step, count: int, candidates: Iterable[Candidate]) -> bool:
-    """Tell whether so many tasks fit at most; on a full pool mostly they do not."""
+    """Return False if the tasks certainly do not fit: a quick check for full pools."""
     if step.need == Resources():
         return True
-    room = 0
+    fitting = 0
     for candidate in candidates:
-        room += count_fitting(candidate.free, step.need)
-        if room >= count:
+        fitting += count_fitting(candidate.free, step.need)
+        if fitting >= count:
             return True
     return False
 
@@ -179,21 +181,22 @@
 ) -> list[str] | None:
     """Return a worker for each of ``count`` tasks, or None.
 
-    A gang that wants one rack gets the rack that it fills best. Spread over
-    racks it would take several times as long, and hold its accelerators all
-    that while; only ``spread_allowed``, or a gang larger than any rack, lets it.
+    A gang that asks for one rack gets the one with the least free capacity that
+    suffices. Spread over racks, it would take several times as long and hold its
+    accelerators for all that time, so it is spread only if ``spread_allowed``, or if
+    it is larger than any rack.
     """
     suitable = list_suitable(step, candidates, avoided, run_time_s=run_time_s)
     held = taken or {}
     if step.rack:
-        near = [c for c in suitable if c.rack == step.rack]
-        found = assign_tasks(step, count, near, held, fast_first=fast_first)
+        in_rack = [c for c in suitable if c.rack == step.rack]
+        found = assign_tasks(step, count, in_rack, held, fast_first=fast_first)
         if found is not None or not spread_allowed:
             return found
     if step.one_rack and count > 1:
         options = [
             (
-                _find_slowest(rack, found) if fast_first else 1.0,
+                _find_gang_slowness(rack, found) if fast_first else 1.0,
                 sum(c.free.accelerators for c in rack),
                 found,
             )
@@ -208,6 +211,6 @@
     return assign_tasks(step, count, suitable, held, fast_first=fast_first)
 
 
-def _find_slowest(rack: Sequence[Candidate], chosen: Sequence[str]) -> float:
-    """Return how slow the slowest of the chosen workers is: a gang is as slow."""
+def _find_gang_slowness(rack: Sequence[Candidate], chosen: Sequence[str]) -> float:
+    """Return the slowness of the slowest chosen worker, which determines a gang's."""
     return max(round(c.slowness, 1) for c in rack if c.worker_id in chosen)
--- a/src/firladder/_internal/engine/planning.py
+++ b/src/firladder/_internal/engine/planning.py
@@ -1,4 +1,4 @@
-"""One pass over all waiting work: who starts where, and who makes way."""
+"""Plan one pass over all waiting units: placement and preemption."""
 
 import dataclasses
 import itertools
@@ -29,47 +29,46 @@
 from .state import Job, Unit, UnitState, Worker
 
 PREEMPTED_BACKOFF_S = 1.0
-"""Seconds for which a unit that was stopped for urgent work waits before it is planned
-again. In a burst it would take the room that the next urgent job needs a moment later,
-and each time cost an order to begin, one to stop, and what it had done meanwhile."""
+"""How long a preempted unit waits before it is planned again. In a burst it would take
+the capacity that the next urgent job needs a moment later, and each time cost a start
+order, a stop order and the work done in between."""
 
 MAX_PROTECTED_GANGS = 3
-"""Waiting gangs for which room is kept free in one pass. Each keeps workers from
-smaller work, so that a steady stream of it does not starve the gang; more than
-a few would leave accelerators idle."""
+"""Waiting gangs for which backfilling is limited in one pass, so that a steady stream
+of smaller tasks does not starve them. More would leave accelerators idle."""
 
 MAX_LOSS_RATIO = 4.0
-"""Core-seconds of lower work that may be lost for each core-second of urgent work
-beyond its organisation's guarantee. Urgent work in time is worth several times
-what a core-second costs; beyond this, a large gang that has just begun is thrown
-away for a small job, and is late itself. Within the guarantee nothing bounds it:
-those accelerators were only lent."""
+"""Core-seconds of lower-priority work that may be lost per core-second of urgent work
+beyond its organisation's guarantee. Urgent work in time is worth several times what
+its core-seconds cost. With a higher ratio, a large gang that has just started is lost
+for a small job and becomes late itself. Within the guarantee there is no limit: those
+accelerators were only lent to others."""
 
 CHEAP_ONLY_SHARE = 0.35
-"""Share of the time within which guaranteed work must begin, for which it waits for
-room that costs less than ``MAX_LOSS_RATIO``. Stops and orders need the rest. Few such
-evictions make up most of the lost work: one for two tasks breaks a gang that has done
-thousands of core-seconds. Waiting halves what an urgent burst on a full pool loses, and
-callers get as much."""
+"""Share of the time within which guaranteed work must start during which it accepts
+only preemptions that cost less than ``MAX_LOSS_RATIO``. Stop and start orders need the
+rest. A few expensive preemptions make up most of the lost work: one for two tasks stops
+a gang that has done thousands of core-seconds. The wait halves the work that an urgent
+burst on a full pool loses, without a disadvantage to callers."""
 
 RECLAIM_MARGIN_S = 2.0
-"""Seconds kept of that time in any case: a stop takes up to 0.9 s, its end is read and
-the new run stored and ordered within half a second, and a busy leader is later."""
+"""Minimum time left of it for the preemption itself: a stop takes up to 0.9 s, reading
+its end and storing and ordering the new run another 0.5 s, and a busy leader longer."""
 
 SPREAD_AFTER_SHARE = 0.6
-"""Share of the time within which guaranteed work must begin, after which such a
-gang takes any racks. It then takes several times as long, and keeps its
-accelerators from others all that while."""
+"""Share of the time within which guaranteed work must start after which a guaranteed
+gang may be spread over racks. It then takes several times as long and holds its
+accelerators for all that time."""
 
 
 class Planner:
-    """Plans passes; remembers only for whom room is being made."""
+    """Plans passes; only reservations for preempting units outlast a pass."""
 
     def __init__(self, core: Core, *, reclaim_s: float, restart_s: float) -> None:
         """Plan for ``core``.
 
-        ``reclaim_s`` is within what time guaranteed urgent work must begin,
-        ``restart_s`` what a task that saves its progress loses by a stop.
+        ``reclaim_s`` is the time within which guaranteed urgent work must start;
+        ``restart_s`` is what a task that saves checkpoints loses by a stop.
         """
         self._core = core
         self._estimates = Estimates(core)
@@ -84,7 +83,7 @@
         self.next_due_s: float | None = None
 
     def run_pass(self, *, now: float, wall: float) -> int:
-        """Plan what can start; return how many units were given workers."""
+        """Plan the units that can start; return how many were given workers."""
         core = self._core
         self._queues = {q.name: q for q in core.configuration.queues}
         self.next_due_s = None
@@ -121,9 +120,9 @@
             if reservation is not None:
                 planned += self._use_reservation(unit, reservation, pool)
                 continue
-            demand = self._describe_wish(unit, pool_name, pool, now)
+            demand = self._describe_demand(unit, pool_name, pool, now)
             workers = None
-            if not self._shortages.covers(demand):
+            if not self._shortages.rules_out(demand):
                 workers = self._place(unit, pool, now, demand)
             if workers is not None:
                 self._plan(unit, workers, pool)
@@ -208,11 +207,11 @@
         return False
 
     def _find_pool(self, job: Job) -> str:
-        """Return the pool that the configuration in force gives to the job.
+        """Return the pool that the configuration in force assigns to the job.
 
-        A queue may have been removed since: its jobs go on where it sent them,
-        as long as that pool exists. Queues with a policy that only an outside
-        service knows are left alone.
+        If its queue has been removed since, the job stays in the pool of that queue as
+        long as the pool exists. An empty name means that the job is not planned here:
+        its queue has a policy that only an external service knows.
         """
         queue = self._queues.get(job.accepted.queue)
         if queue is None:
@@ -254,7 +253,7 @@
             return False
         return self._find_pool(unit.job) in self._idle_pools
 
-    def _describe_wish(
+    def _describe_demand(
         self, unit: Unit, name: str, pool: Sequence[Candidate], now: float
     ) -> Demand:
         one_rack = not self._may_spread(unit, now)
@@ -267,7 +266,7 @@
         return Demand(name, unit.step.need, len(unit.indices), one_rack, run_time_s)
 
     def _needs_one_rack(self, unit: Unit, name: str, pool: Sequence[Candidate]) -> bool:
-        """Tell whether a gang wants one rack, and some rack is wide enough for it."""
+        """Return whether a gang asks for one rack and some rack is large enough."""
         need, count = unit.step.need, len(unit.indices)
         if not unit.step.one_rack or count == 1:
             return False
@@ -293,12 +292,12 @@
             fast_first=unit.job.accepted.priority == 0,
         )
         if found is None:
-            self._shortages.note(demand, unit.step, has_exclusions=bool(avoided))
+            self._shortages.record(demand, unit.step, has_exclusions=bool(avoided))
         return found
 
     def _may_spread(self, unit: Unit, now: float) -> bool:
         if unit.step.rack in self._evacuated_racks:
-            # Nothing begins there until the operators take the domain back.
+            # Nothing starts there until the operators end the evacuation.
             return True
         if self._is_starved_in_idle_pool(unit, now, longer_than=SPREAD_IF_IDLE_AFTER_S):
             return True
@@ -308,7 +307,7 @@
         return urgent and late and self._is_guaranteed(unit)
 
     def _list_avoided(self, unit: Unit, pool: Sequence[Candidate]) -> set[str]:
-        """Return where the unit failed before, unless nothing else is left."""
+        """Return the workers where the unit failed, unless no others are usable."""
         usable = list_suitable(unit.step, pool, unit.avoided)
         return unit.avoided if usable else set()
 
@@ -331,7 +330,7 @@
         self._estimates.invalidate(unit)
 
     def evacuate(self, now: float) -> None:
-        """Move work off workers that leave before it can be done."""
+        """Preempt units on draining workers that leave before the units are done."""
         self._estimates.begin_pass()
         for unit in list_units_to_move(self._core, self._estimates, now):
             self._core.preempt(unit)
@@ -374,10 +373,10 @@
         return True
 
     def _must_reclaim(self, unit: Unit, now: float) -> bool:
-        patience_s = min(
+        cheap_only_s = min(
             self._reclaim_s * CHEAP_ONLY_SHARE, self._reclaim_s - RECLAIM_MARGIN_S
         )
-        return now - unit.ready_at >= patience_s and self._is_guaranteed(unit)
+        return now - unit.ready_at >= cheap_only_s and self._is_guaranteed(unit)
 
     def _is_worth_cost(self, unit: Unit, found: PreemptionPlan) -> bool:
         need = unit.step.need
@@ -386,7 +385,7 @@
         return found.cost <= MAX_LOSS_RATIO * work
 
     def _is_guaranteed(self, unit: Unit) -> bool:
-        """Tell whether the organisation's urgent work is within its guarantee."""
+        """Return whether the organisation's urgent work is within its guarantee."""
         name = unit.job.accepted.organisation
         guaranteed = next(
             (
--- a/src/firladder/_internal/engine/preemption.py
+++ b/src/firladder/_internal/engine/preemption.py
@@ -1,4 +1,4 @@
-"""Choose which running work makes way for urgent work."""
+"""Choose the running units to preempt for an urgent unit."""
 
 import dataclasses
 from collections.abc import Collection, Iterable, Sequence
@@ -8,22 +8,22 @@
 from .state import Phase, Unit, Worker
 
 ACCELERATOR_CORES = 8.0
-"""Cores that one accelerator counts for when lost work is weighed; the price
-list of the platform counts it so."""
+"""Cores that one accelerator counts for in the cost of lost work, as in the price list
+of the platform."""
 
 LOST_RUN_PENALTY_S = 1.0
-"""Seconds of its cores that a unit's cost grows by with each run that it has lost. What
-was only just begun costs nothing to stop, so that it is always the first: without this
-the same gang is begun and stopped again and again, and never ends."""
+"""Seconds of its cores by which a unit's cost grows with each run that it has lost. A
+unit that has just started costs nothing to stop and would always be the first victim:
+without the penalty, the same gang is started and preempted again and again."""
 
 NEAR_END_WEIGHT = 1.0
-"""Extra weight of work by the share that is done: what ends soon gives its room
-back by itself, so it is the last to be stopped."""
+"""Extra weight of work in proportion to its progress: a unit that ends soon frees its
+capacity by itself, so it is preempted last."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PreemptionPlan:
-    """Workers for the tasks of an urgent unit, and the units that must end."""
+    """A worker for each task of an urgent unit, and the units to stop for it."""
 
     workers: tuple[str, ...]
     victims: tuple[Unit, ...]
@@ -31,11 +31,11 @@
 
 
 def estimate_loss(unit: Unit, now: float, *, restart_s: float) -> float:
-    """Return what is lost when a unit is stopped, in core-seconds.
+    """Return the work that is lost when a unit is stopped, in core-seconds.
 
-    A task that saves its progress does so at a stop too, however long ago it did
-    last: it loses ``restart_s``, the stop and the restoring. Runs that were lost before
-    count as well, whether this one is at work yet or not.
+    A task with checkpoints also saves one when it is stopped, so it loses at most
+    ``restart_s`` for the stop and the restore. Earlier lost runs add to the cost, even
+    if the current run is not active yet.
     """
     need = unit.step.need
     cores = need.cpu_milli / 1000 + need.accelerators * ACCELERATOR_CORES
@@ -46,13 +46,13 @@
     elapsed = now - max(p.active_at for p in active)
     done = max(p.percent for p in active) / 100
     lost_s = min(elapsed, restart_s) if unit.step.checkpoints else elapsed
-    # A successor has not heard of each member yet; those work as long as the others.
-    at_work = len(unit.placements)
-    return lost_before + cores * at_work * lost_s * (1 + NEAR_END_WEIGHT * done)
+    # A new leader may not have a report of each member yet: it counts as active too.
+    members = len(unit.placements)
+    return lost_before + cores * members * lost_s * (1 + NEAR_END_WEIGHT * done)
 
 
 def list_victims(worker: Worker, *, below: int) -> list[Unit]:
-    """Return the units on a worker that may be stopped for priority ``below``."""
+    """Return the units on a worker that a unit of priority ``below`` may preempt."""
     units = {
         id(p.unit): p.unit
         for p in worker.placements.values()
@@ -64,11 +64,11 @@
 
 
 class PreemptionPlanner:
-    """Find the cheapest set of units to stop so that an urgent unit fits.
+    """Finds a cheap set of units to stop so that an urgent unit fits.
 
-    Answers an urgent gang that meets full workers: an organisation's guaranteed
-    accelerators are lent out while it is silent, and must be back within
-    seconds. Stopping the youngest and the checkpointed work first loses least.
+    An organisation's guaranteed accelerators are lent to others while it does not use
+    them, and must be returned within seconds. Stopping young units and units with
+    checkpoints first loses the least work.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         now: float,
         restart_s: float,
     ) -> None:
-        """Plan for one pass, on the room that this pass has left."""
+        """Plan for one pass, on the free capacity that this pass has left."""
         self._candidates = candidates
         self._workers = workers
         self._now = now
@@ -89,7 +89,7 @@
     def plan(
         self, unit: Unit, *, avoided: Collection[str], spread_allowed: bool
     ) -> PreemptionPlan | None:
-        """Return the cheapest eviction, or None if even that makes no room."""
+        """Return the cheapest plan, or None if no preemption frees enough capacity."""
         step = unit.step
         suitable = list_suitable(step, self._candidates, avoided)
         if step.rack and not spread_allowed:
@@ -148,11 +148,11 @@
         return PreemptionPlan(tuple(chosen), tuple(victims.values()), cost)
 
     def _estimate_cost(self, unit: Unit) -> float:
-        known = self._costs.get(id(unit))
-        if known is None:
+        cached = self._costs.get(id(unit))
+        if cached is None:
             loss = estimate_loss(unit, self._now, restart_s=self._restart_s)
-            known = self._costs[id(unit)] = 1.0 + loss
-        return known
+            cached = self._costs[id(unit)] = 1.0 + loss
+        return cached
 
     def _find_victims_on(
         self,
--- a/src/firladder/_internal/engine/progress.py
+++ b/src/firladder/_internal/engine/progress.py
@@ -18,7 +18,7 @@
 
 
 class UnitProgress(msgspec.Struct, frozen=True, array_like=True):
-    """A unit that has left its first state."""
+    """The progress of a unit that has left its initial state."""
 
     number: int
     state: str
@@ -29,11 +29,11 @@
 
 
 class JobProgress(msgspec.Struct, frozen=True, array_like=True):
-    """All that a successor must know of a job beyond its submission.
+    """Everything that a new leader must know of a job beyond its submission.
 
-    ``addresses`` maps the workers named to where they listen: one that is not
-    registered at the moment can still be asked what it runs. ``lapses`` tells for
-    those out of reach at what Unix time all that runs there has ended.
+    ``addresses`` maps the workers in ``units`` to their addresses, so that a worker
+    that is not registered at the moment can still be polled. ``lapses`` maps the
+    unreachable ones to the Unix time at which all their runs have ended.
     """
 
     state: str
@@ -53,7 +53,7 @@
 
 
 def decode_accepted(value: bytes) -> AcceptedJob | MalformedBody:
-    """Return a stored job, or why the value is none."""
+    """Return a stored job, or why the value cannot be decoded."""
     try:
         return _accepted_decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -65,7 +65,7 @@
 ) -> bytes:
     """Return the job's progress as it is stored.
 
-    ``wall_offset_s`` is Unix time less the clock of the workers' times.
+    ``wall_offset_s`` is Unix time minus the leader's clock.
     """
     units = tuple(
         UnitProgress(
@@ -82,16 +82,16 @@
     named = {p.worker_id for u in units for p in u.placed}
     known = [workers[w] for w in sorted(named) if w in workers]
     addresses = {w.worker_id: w.entry.address for w in known}
-    lapses = {
+    expiries = {
         w.worker_id: w.runs_expire_at + wall_offset_s for w in known if not w.reachable
     }
     return msgspec.msgpack.encode(
-        JobProgress(job.state.value, units, addresses, job.ended_at, lapses)
+        JobProgress(job.state.value, units, addresses, job.ended_at, expiries)
     )
 
 
 def decode_progress(value: bytes) -> JobProgress | MalformedBody:
-    """Return a stored progress, or why the value is none."""
+    """Return a job's stored progress, or why the value cannot be decoded."""
     try:
         return _progress_decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -99,7 +99,7 @@
 
 
 def restore_job(job: Job, progress: JobProgress) -> None:
-    """Bring a fresh job to its recorded progress."""
+    """Restore the recorded progress of a newly built job."""
     job.state = JobState(progress.state)
     job.ended_at = progress.ended_at
     if progress.units and job.state is JobState.QUEUED:
--- a/src/firladder/_internal/engine/reports.py
+++ b/src/firladder/_internal/engine/reports.py
@@ -1,4 +1,4 @@
-"""What workers say, and what follows when they say nothing."""
+"""Apply the reports of workers, and expire or abort runs when none come."""
 
 from ..models.order import EndedTask, Ending, TaskId, WorkerReport
 from ..models.workload import WorkerEntry
@@ -17,10 +17,10 @@
 
 
 class Reports(Answers):
-    """Compares what workers report with the runs that they were given."""
+    """Compares the runs that workers report with their placements."""
 
     def register_worker(self, entry: WorkerEntry, *, now: float) -> Worker:
-        """Take a worker's newest entry."""
+        """Add a worker, or update it with its newest entry; return it."""
         worker = self.workers.get(entry.worker_id)
         if worker is None:
             worker = self.workers[entry.worker_id] = Worker(entry)
@@ -29,23 +29,23 @@
             worker.registered = True
         worker.entry_seen_at = now
         for other in list(self.workers.values()):
-            reborn = other.entry.address == entry.address
-            if reborn and other is not worker and not other.registered:
+            same_address = other.entry.address == entry.address
+            if same_address and other is not worker and not other.registered:
                 self.lose_worker(other.worker_id, "address taken by another worker")
         return worker
 
     def unregister_worker(self, worker_id: str) -> None:
-        """Note that a worker's entry is gone; what runs there may still run."""
+        """Mark a worker whose entry is gone; its runs may still be active."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
         worker.registered = False
-        self._forget_if_over(worker)
+        self._remove_if_over(worker)
 
     def expire_runs(self, now: float) -> None:
-        """Give up runs whose leases have ended while nobody could reach them."""
+        """End the runs of unreachable workers whose leases have expired."""
         for worker in list(self.workers.values()):
-            self._forget_if_over(worker)
+            self._remove_if_over(worker)
             if worker.reachable or not worker.placements or now < worker.runs_expire_at:
                 continue
             self.note(
@@ -56,10 +56,10 @@
             )
             for placement in list(worker.placements.values()):
                 self._resolve(worker, placement, None)
-            self._forget_if_over(worker)
+            self._remove_if_over(worker)
 
     def abort_stalled_runs(self, now: float) -> None:
-        """End runs that stand still, so that they go on elsewhere."""
+        """Abort stalled runs, so that their units run again on other workers."""
         for worker in list(self.workers.values()):
             for placement in list(worker.placements.values()):
                 unit = placement.unit
@@ -73,10 +73,11 @@
                     continue
                 if waits_for_members(unit, placement):
                     continue
-                # Also while the run may still go on: nothing else shall begin there.
+                # Recorded even while the run is given more time: nothing else should
+                # start on this worker.
                 quarantined = record_failure(worker, unit.job.accepted.job_id, now)
-                patience_s = choose_stall_timeout(unit, placement)
-                if not is_stalled(placement, now, longer_than=patience_s):
+                cheap_only_s = choose_stall_timeout(unit, placement)
+                if not is_stalled(placement, now, longer_than=cheap_only_s):
                     continue
                 unit.avoided.add(worker.worker_id)
                 self.note(
@@ -87,7 +88,7 @@
                 )
                 self._abort_run(unit)
 
-    def _note_reachable(self, worker: Worker) -> None:
+    def _mark_reachable(self, worker: Worker) -> None:
         if not worker.reachable:
             worker.reachable = True
             worker.barrier = [(j, j.version) for j in self._mark_jobs_changed(worker)]
@@ -95,22 +96,25 @@
     def handle_report(
         self, worker: Worker, report: WorkerReport, *, sent_at: float, now: float
     ) -> None:
-        """Take what a worker says of its runs; the look left at ``sent_at``."""
-        self._note_reachable(worker)
+        """Apply a worker's report on its runs, polled at ``sent_at``."""
+        self._mark_reachable(worker)
         worker.claimed = True
         worker.clock_offset_s = report.clock_s - now
         for end in report.ended:
             if end.number > worker.last_end_read:
                 worker.last_end_read = end.number
                 self._read_end(worker, end, now)
-        registered = {(row.task, row.run) for row in report.running}
+        reported_runs = {(row.task, row.run) for row in report.running}
         for row in report.running:
             placement = worker.placements.get((row.task, row.run))
             if placement is None:
                 placement = self._adopt_orphan(worker, row.task, row.run)
             self._read_running(placement, row.checkpoint, row.percent, now)
         for placement in list(worker.placements.values()):
-            if placement.key not in registered and placement.last_answer_at < sent_at:
+            if (
+                placement.key not in reported_runs
+                and placement.last_answer_at < sent_at
+            ):
                 self._resolve_absent(worker, placement)
 
     def _read_running(
@@ -121,8 +125,8 @@
         if placement.phase is Phase.SENT:
             self._activate(placement, now)
         elif placement.phase is Phase.RECOVERED and unit is not None:
-            # Counted from now, work that an earlier leader began would look as if it
-            # had just begun: the first to be stopped, though it is nearly done.
+            # If its time counted from now, a run that a former leader started would
+            # look new, and be preempted first although it may be almost done.
             worked_s = self.estimate_run(unit) * percent / DONE_PERCENT
             self._activate(placement, now, worked_s=worked_s)
         record_progress(placement, percent, now)
@@ -132,10 +136,11 @@
             unit.checkpoint = checkpoint
 
     def _adopt_orphan(self, worker: Worker, task: TaskId, run: int) -> Placement:
-        """Give room to a run that is not ours to have, and end it.
+        """Add a placement for a run that the core does not know, and stop it.
 
-        A start that was carried out after it was given up would otherwise run
-        on beside its successor, and its room would be given away twice.
+        A start order may be carried out after its run was aborted. That orphan would
+        otherwise run beside the next run of its task, and its capacity would be
+        assigned twice.
         """
         job = self.jobs.get(task.job_id)
         step = None
@@ -150,8 +155,8 @@
 
     def _resolve_absent(self, worker: Worker, placement: Placement) -> None:
         if placement.phase is Phase.ACTIVE:
-            # It was there and no end is listed: make sure that it cannot be,
-            # then let the next look decide.
+            # It was active and the report lists no end: order a stop, and let the
+            # next poll decide.
             placement.reported = False
             self._abort_run_of(placement)
             return
@@ -165,7 +170,7 @@
         if placement is None or placement.unit is None:
             if placement is not None:
                 del worker.placements[placement.key]
-            # It may have been read before, and be on its way to the records.
+            # The end may have been read before, with its record not yet durable.
             version = job.version if job is not None else 0
             worker.unacknowledged_ends.append((end.number, job, version))
             return
--- a/src/firladder/_internal/engine/runs.py
+++ b/src/firladder/_internal/engine/runs.py
@@ -1,14 +1,14 @@
 """Runs of units: planned, made durable, sent, ended, and settled.
 
-The life of a run keeps four promises, whatever its orders meet on the way:
-
-- nothing is sent to a worker before the run it belongs to is durable, so that a
-  successor knows every run that may exist;
-- a task is not started again before its last run is proved to be over: listed
-  as ended, absent from a look that left after its last order was answered, gone
-  with its incarnation, or ended for want of renewal on any clock;
-- what may still run, or may still start late, holds its room;
-- an end is acknowledged to its worker, and shown to callers, only when durable.
+Runs keep four invariants, even when orders or their answers are lost or late:
+
+- no order is sent to a worker before the run it belongs to is durable, so that a new
+  leader knows every run that may exist;
+- a task is not started again before its last run is proved to have ended: listed as
+  ended, absent from a poll that was sent after its last order was answered, gone with
+  its worker's incarnation, or ended because its lease expired on every clock;
+- a task that may still run, or may still start late, holds its capacity;
+- an end is acknowledged to its worker, and shown to callers, only when it is durable.
 """
 
 import math
@@ -20,19 +20,19 @@
 from .state import Job, JobState, Phase, Placement, Unit, UnitState, Worker
 
 STOP_AGAIN_S = 0.5
-"""Seconds until a stop without an answer is sent again; longer than the time
-for which its answer is awaited, so that one at a time is on its way."""
+"""Time until an unanswered stop order is sent again; longer than the timeout of its
+answer, so that only one is in flight at a time."""
 
 DecisionLogger = Callable[..., None]
-"""Takes a decision's name and its inputs, for the log."""
+"""Logs a decision by its name and its inputs."""
 
 
 def _discard_decision(_what: str, **_inputs: object) -> None:
-    """Take a note and do nothing with it."""
+    """Discard a decision instead of logging it."""
 
 
 class Runs:
-    """The runs of all units on all workers, and the orders that they need."""
+    """The runs of all units on all workers, and the orders that are due."""
 
     def __init__(
         self, *, lease_s: float, note: DecisionLogger = _discard_decision
@@ -53,7 +53,7 @@
         self._planned: list[Placement] = []
 
     def lose_worker(self, worker_id: str, reason: str) -> None:
-        """Note that nothing runs on a worker any more and nothing ever will."""
+        """Remove a worker on which nothing runs any more or ever will."""
         worker = self.workers.pop(worker_id, None)
         if worker is None:
             return
@@ -65,7 +65,7 @@
             self._resolve(worker, placement, None)
 
     def mark_unreachable(self, worker: Worker, now: float) -> None:
-        """Note that a call to a worker got no answer."""
+        """Mark a worker unreachable after a call got no answer."""
         if worker.reachable:
             worker.reachable = False
             worker.unreachable_at = now
@@ -82,7 +82,7 @@
         return list(jobs.values())
 
     def plan_run(self, unit: Unit, workers: Iterable[str]) -> None:
-        """Give a unit's tasks to workers under a new run number."""
+        """Assign a unit's tasks to workers under a new run number."""
         unit.run += 1
         unit.state = UnitState.BUSY
         for index, worker_id in zip(unit.indices, workers, strict=True):
@@ -106,15 +106,15 @@
         )
 
     def preempt(self, unit: Unit) -> None:
-        """End a unit's run so that its room becomes free; it will run again."""
+        """Stop a unit's run to free its capacity; the unit will run again."""
         self._abort_run(unit)
 
     def evacuate_domains(self, domains: frozenset[str]) -> None:
-        """Take the failure domains whose workers get nothing new from now on.
+        """Set the failure domains whose workers get no new work from now on.
 
-        What is planned there and not known to be at work is withdrawn: held up, its
-        start would leave long after the operators were told that nothing more comes.
-        What is at work goes on to its end.
+        Runs there that are not known to be active are withdrawn: a delayed start order
+        could otherwise be sent long after the operators were told that no more work
+        starts there. Active runs continue to their end.
         """
         added, self.evacuated = domains - self.evacuated, domains
         withdrawn = [
@@ -129,20 +129,20 @@
                 self.preempt(unit)
 
     def is_evacuated(self, worker: Worker) -> bool:
-        """Tell whether a worker gets nothing new because of its failure domain."""
+        """Return whether a worker gets no new work because of its failure domain."""
         return worker.entry.failure_domain in self.evacuated
 
     def take_starts(self) -> list[Placement]:
-        """Return the starts that are durable and not sent yet."""
+        """Return the placements whose start is durable and not sent yet, once each."""
         starts, self.starts = self.starts, []
         for placement in starts:
             self.drop_unsent(placement)
         return [p for p in starts if p.phase is Phase.SENT]
 
     def drop_unsent(self, placement: Placement) -> None:
-        """Free a run that was given up before its start left.
+        """Free a placement whose run was aborted before its start order was sent.
 
-        Nothing of it can be anywhere: neither a stop nor a look is needed to tell.
+        The worker never got the order, so neither a stop nor a poll is needed.
         """
         worker = self.workers.get(placement.worker_id)
         if worker is None or placement.key not in worker.placements:
@@ -151,7 +151,7 @@
             self._resolve(worker, placement, None)
 
     def take_stops(self, now: float) -> list[Placement]:
-        """Return the stops to be sent now, repeated ones included."""
+        """Return the placements whose stop order is due, including repeated ones."""
         self.stops.clear()
         due = [
             p
@@ -166,7 +166,7 @@
         return due
 
     def describe_start(self, placement: Placement) -> StartOrder:
-        """Return the order that begins a placement."""
+        """Return the order that starts a placement's task."""
         unit = placement.unit
         assert unit is not None
         return StartOrder(
@@ -179,7 +179,7 @@
         )
 
     def describe_stop(self, placement: Placement) -> StopOrder | None:
-        """Return the order that ends a placement, or None if its worker is gone."""
+        """Return the order that stops a placement's task, or None without a worker."""
         worker = self.workers.get(placement.worker_id)
         if worker is None:
             return None
@@ -188,7 +188,7 @@
         )
 
     def mark_durable(self, job_id: str, version: int) -> None:
-        """Note that a job is stored as it was at ``version``."""
+        """Record that a job's ``version`` is durable; release its durable starts."""
         job = self.jobs.get(job_id)
         if job is None:
             return
@@ -222,7 +222,10 @@
         self.dirty[job.accepted.job_id] = job
 
     def estimate_run(self, unit: Unit) -> float:
-        """Return how long a run takes, in seconds; declared times are far off."""
+        """Return the expected duration of a run, in seconds.
+
+        The declared time serves only until a run time is learned: it is far off.
+        """
         key = (unit.job.accepted.queue, unit.step_index)
         return self.runtimes.get(key, unit.step.estimate_s)
 
@@ -248,10 +251,10 @@
         self.stops.append(placement)
 
     def _abort_run_of(self, placement: Placement) -> None:
-        """Stop a placement that cannot take part any more, and with it its run.
+        """Stop a placement that cannot complete, and abort its unit's run.
 
-        The other members of a gang would wait for it, and hold their workers, until
-        they end alone.
+        The other members of a gang would otherwise wait for it and hold their workers
+        until they end by themselves.
         """
         self._order_stop(placement)
         if placement.unit is not None:
@@ -268,11 +271,12 @@
                 self._order_stop(placement)
         self._settle(unit)
 
-    def _forget_if_over(self, worker: Worker) -> None:
-        """Forget a worker that is not registered and has nothing of ours left.
+    def _remove_if_over(self, worker: Worker) -> None:
+        """Remove a worker that is not registered and has no state left to keep.
 
-        Ends that were read and are not durable yet are ours: forgotten with their
-        worker, they would be acknowledged unstored when it registers again.
+        Ends that were read and are not durable yet must be kept: if they were removed
+        with their worker, they would be acknowledged without being stored when it
+        registers again.
         """
         if worker.registered or worker.placements or worker.unacknowledged_ends:
             return
@@ -283,7 +287,7 @@
     def _drop(self, worker: Worker | None, placement: Placement) -> None:
         if worker is not None:
             worker.placements.pop(placement.key, None)
-            self._forget_if_over(worker)
+            self._remove_if_over(worker)
         unit = placement.unit
         if unit is not None:
             unit.placements.pop(placement.task.index, None)
@@ -291,7 +295,7 @@
     def _resolve(
         self, worker: Worker, placement: Placement, ending: Ending | None
     ) -> None:
-        """Free a placement whose end is proved; None says how is not known."""
+        """Free a placement whose end is proved; ``ending`` is None if unknown."""
         placement.phase = Phase.STOPPING
         self._drop(worker, placement)
         unit = placement.unit
@@ -316,19 +320,19 @@
         self._abort_run(unit)
 
     def _settle(self, unit: Unit) -> None:
-        """Let a unit whose run is over wait for its next one, or fail."""
+        """Return a unit whose run is over to waiting, or fail its job."""
         if unit.placements or unit.state is not UnitState.BUSY:
             return
         unit.state = UnitState.WAITING
         self._check_attempts(unit)
 
     def _count_failure(self, unit: Unit | None, run: int) -> None:
-        """Note that a run failed, also when it was given up before.
+        """Count the failure of a run, even if the run was aborted before.
 
-        A worker that comes back lists what had ended while nobody could reach it,
-        and a successor reads ends that its predecessor knew. A failure that counted
-        only with its run's room would be forgotten with either, and the task be
-        started beyond its attempts.
+        A worker that becomes reachable again lists ends that happened meanwhile, and a
+        new leader reads ends that the former one knew. If only failures of existing
+        placements counted, these would be missed, and the task would be started more
+        often than its maximum number of attempts.
         """
         if unit is None or unit.step.lasting or unit.state is UnitState.DONE:
             return
--- a/src/firladder/_internal/engine/shortages.py
+++ b/src/firladder/_internal/engine/shortages.py
@@ -1,4 +1,4 @@
-"""Remember what did not fit in a pass, and so what cannot fit either."""
+"""Remember the demands that did not fit in a pass, to rule out larger ones."""
 
 import dataclasses
 import math
@@ -6,15 +6,15 @@
 from ..models.workload import Resources, Step
 
 ANY_WORKER_S = -math.inf
-"""Seconds of a wish that also takes workers which are kept for others."""
+"""Run time of a demand that may also use workers on which backfilling is limited."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """What a unit asks of ``pool``.
+    """What a unit needs from ``pool``: ``count`` times the resources ``need``.
 
-    ``one_rack`` tells that all tasks must be on one rack, ``run_time_s`` for how long
-    workers must be open, in seconds.
+    If ``one_rack``, all tasks must be on one rack. ``run_time_s`` must fit into the
+    backfill window of each worker.
     """
 
     pool: str
@@ -24,7 +24,7 @@
     run_time_s: float
 
     def dominates(self, other: "Demand") -> bool:
-        """Tell whether whatever serves this wish would serve the other one as well."""
+        """Return whether any workers that satisfy this demand satisfy ``other`` too."""
         return (
             self.count >= other.count
             and self.run_time_s >= other.run_time_s
@@ -34,33 +34,34 @@
 
 
 class Shortages:
-    """The wishes that one pass could not serve.
+    """The demands that could not be satisfied in one pass.
 
-    Answers a long queue before a full pool: thousands of like tasks wait, and looking
-    at each worker for each of them makes a pass longer than the time between two
-    events. Within a pass room only becomes less, so that what asks for no less than
-    something that did not fit need not be looked at.
+    When thousands of similar tasks wait for a full pool, checking each worker for each
+    task makes a pass longer than the time between two events. Free capacity only
+    shrinks within a pass, so a demand that asks for at least as much as one that did
+    not fit can be skipped.
     """
 
     def __init__(self) -> None:
-        """Know of no shortage yet."""
+        """Start without shortages."""
         self._failed: dict[str, list[Demand]] = {}
 
     def begin_pass(self) -> None:
-        """Forget the pass before: room may have come up since."""
+        """Clear the shortages of the previous pass: capacity may be free now."""
         self._failed.clear()
 
-    def note(self, demand: Demand, step: Step, *, has_exclusions: bool) -> None:
-        """Note that a wish could not be served.
+    def record(self, demand: Demand, step: Step, *, has_exclusions: bool) -> None:
+        """Record a demand that could not be satisfied.
 
-        A step that is bound to a label, a rack or a number of tasks a worker, or a unit
-        that avoids workers, may have failed for that reason alone: it tells nothing.
+        A step with a label, a rack or a limit of tasks per worker, or a unit that
+        avoids workers, may not fit for that reason alone. It rules out no other demand
+        and is not recorded.
         """
         bound = bool(step.label or step.rack or step.most_per_worker)
         if not bound and not has_exclusions:
             self._failed.setdefault(demand.pool, []).append(demand)
 
-    def covers(self, demand: Demand) -> bool:
-        """Tell whether a wish cannot be served in this pass."""
+    def rules_out(self, demand: Demand) -> bool:
+        """Return whether a demand certainly cannot be satisfied in this pass."""
         failed = self._failed.get(demand.pool, ())
         return any(demand.dominates(other) for other in failed)
--- a/src/firladder/_internal/engine/speeds.py
+++ b/src/firladder/_internal/engine/speeds.py
@@ -6,38 +6,40 @@
 from .state import Placement, Unit
 
 TASK_VARIANCE = 0.15**2
-"""Variance of the logarithm of the time that like tasks of one step take on like
-workers: they differ by some 15%."""
+"""Variance of the logarithm of the run time of one step's tasks on equally fast
+workers: run times differ by about 15%."""
 
 WORKER_VARIANCE = 0.2**2
-"""The same of one task on the workers of a pool; by as much as a fourth either way."""
+"""Variance of the logarithm of a task's run time across the workers of a pool, which
+differ by up to a fourth either way."""
 
 CHANGE_VARIANCE = 0.04**2
-"""What a worker's own speed may have changed between two of its tasks."""
+"""Variance of the change of a worker's log speed between two of its tasks."""
 
 DECLARED_VARIANCE = 1.0
-"""The same of declared times, until a queue's own are known: tenfold off with some."""
+"""Initial variance of the logarithm of run time over declared time, until a queue's
+own is learned: some declared times are off by a factor of ten."""
 
 LEARNING_RATE = 0.05
-"""Weight of one task in what is known of a queue's declared times."""
+"""Weight of one task in the learned bias and variance of a queue's declared times."""
 
 MAX_LOG_SLOWNESS = 0.5
-"""Bound of the logarithm of how many times as long a task takes: a worker that is
-slow for some seconds is found out within a task, and forgiven within a few."""
+"""Bound of the logarithm of a worker's slowness. A worker that is slow for some seconds
+is noticed within one task, and counts as normal again within a few."""
 
 MIN_PERCENT = 25.0
-"""Progress from which a running task's pace can be read: below it, a whole per cent
-and the time that the first look took weigh too much."""
+"""Progress from which an active task's run time is extrapolated. Below it, rounding to
+whole per cent and the delay of the first poll distort the result too much."""
 
 MIN_DECLARED_S = 0.01
-"""The least declared time that is reckoned with; some callers declare none."""
+"""Lower bound of declared times, of which some are zero."""
 
 StepKey = tuple[str, int, int]
 
 
 @dataclasses.dataclass(slots=True)
 class _Estimate:
-    """A logarithm that is not known for sure."""
+    """An estimated logarithm and its variance."""
 
     value: float
     variance: float
@@ -45,7 +47,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _DeclaredBias:
-    """How a queue's tasks compare to their declared times: logarithms."""
+    """The logarithm of run time over declared time of a queue's tasks."""
 
     bias: float = 0.0
     variance: float = DECLARED_VARIANCE
@@ -54,50 +56,52 @@
 class Speeds:
     """Slowness of each worker, relative to the others.
 
-    Urgent work that is in time on a usual worker is late on a slow one: a third of a
-    pool that takes a fourth longer makes most of the late ones. Nobody tells a worker's
-    speed. Each task shows the sum of what its step takes and what its worker adds, so
-    that both are estimated together, each by how little is known of it (a Kalman
-    filter without the covariances between the two).
+    Urgent work that is in time on a usual worker may be late on a slow one: when a
+    third of a pool took a fourth longer, most late jobs ran there. Workers do not
+    report their speed. The logarithm of a task's run time is the sum of its step's and
+    its worker's, so both are estimated together, each in proportion to its variance
+    (a Kalman filter without the covariances between the two).
     """
 
     def __init__(self) -> None:
-        """Know nothing yet: all workers count as alike."""
+        """Start without estimates: all workers count as equally fast."""
         self._workers: dict[str, _Estimate] = {}
         self._sum = 0.0
         self._steps: dict[StepKey, _Estimate] = {}
         self._queues: dict[str, _DeclaredBias] = {}
 
     def find_slowness(self, worker_id: str) -> float:
-        """Return how many times as long a task takes there as on a usual worker."""
+        """Return the run time of a task there relative to a usual worker."""
         estimate = self._workers.get(worker_id)
         if estimate is None:
             return 1.0
-        # Only differences are known: what all have in common belongs to the tasks.
+        # Only differences between workers are known: what they have in common is part
+        # of the estimates of the steps.
         return math.exp(estimate.value - self._sum / len(self._workers))
 
     def learn_from_progress(self, unit: Unit, placement: Placement, now: float) -> None:
-        """Learn from a task that is at work; each is counted once."""
-        # A member of a gang that is done waits for the others at a hundred per cent.
-        seen = MIN_PERCENT <= placement.percent < 100
-        if placement.measures_speed and seen and unit.all_active:
-            whole_s = (now - unit.active_since) * 100 / placement.percent
-            self._learn(unit, placement, whole_s)
+        """Learn from the progress of an active task, once per task."""
+        # A gang member that is done waits for the others at 100 per cent.
+        measurable = MIN_PERCENT <= placement.percent < 100
+        if placement.measures_speed and measurable and unit.all_active:
+            total_s = (now - unit.active_since) * 100 / placement.percent
+            self._learn(unit, placement, total_s)
 
     def learn_from_end(self, unit: Unit, placement: Placement, now: float) -> None:
-        """Learn from a task that ended well before its progress was seen."""
-        # The members of a gang end together: an end tells nothing of its worker.
+        """Learn from a task that succeeded before its progress could be used."""
+        # The members of a gang end together: the end of one says nothing about its
+        # worker.
         if placement.measures_speed and len(unit.indices) == 1:
             self._learn(unit, placement, now - placement.active_at)
 
     def forget_worker(self, worker_id: str) -> None:
-        """Drop what is known of a worker that is gone for good."""
+        """Drop the estimate of a worker that is gone for good."""
         estimate = self._workers.pop(worker_id, None)
         if estimate is not None:
             self._sum -= estimate.value
 
     def forget_job(self, job_id: str) -> None:
-        """Drop what is remembered of a job's steps."""
+        """Drop the estimates of a job's steps."""
         for key in [k for k in self._steps if k[0] == job_id]:
             del self._steps[key]
 
--- a/src/firladder/_internal/engine/state.py
+++ b/src/firladder/_internal/engine/state.py
@@ -1,4 +1,4 @@
-"""What the core knows of jobs, their runs, and the workers that run them."""
+"""The state of jobs, their runs, and workers as the core knows it."""
 
 import dataclasses
 import enum
@@ -10,10 +10,10 @@
 
 
 class Phase(enum.Enum):
-    """How far a placement's orders have come.
+    """The phase of a placement's orders.
 
-    PLANNED is not durable yet, so nothing was sent. RECOVERED comes from the
-    record that an earlier leader left: the worker has not been asked yet.
+    PLANNED is not durable yet, so no order was sent. RECOVERED comes from the record
+    of a former leader: the worker has not been polled yet.
     """
 
     PLANNED = "planned"
@@ -24,7 +24,7 @@
 
 
 class UnitState(enum.Enum):
-    """Where a unit is between its first plan and its end."""
+    """The state of a unit; BUSY while it has a run that is planned or active."""
 
     WAITING = "waiting"
     BUSY = "busy"
@@ -33,7 +33,7 @@
 
 
 class JobState(enum.Enum):
-    """What callers are told of a job."""
+    """The state of a job as shown to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -80,7 +80,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Tell whether the run is known to have begun, and not to be given up."""
+        """Return whether the task is known to have started and is not being stopped."""
         return self.phase is Phase.ACTIVE
 
     @property
@@ -91,12 +91,12 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Unit:
-    """What starts and ends together: a whole gang, or one task of another step.
+    """Tasks that start and end together: a whole gang, or one task of another step.
 
-    ``failed_runs`` names the runs of which a task failed. They are numbers, not a
-    count: a run's failure may be listed by several members, again to a successor, and
-    long after the run was given up. A unit that was stopped for urgent work is not
-    planned again before ``backoff_until``.
+    ``failed_runs`` has the numbers of the runs of which a task failed, not a count: a
+    run's failure may be listed by several members, again to a new leader, and long
+    after the run was aborted. A preempted unit is not planned again before
+    ``backoff_until``.
     """
 
     job: "Job"
@@ -125,36 +125,37 @@
 
     @property
     def failures(self) -> int:
-        """Return how many attempts have failed."""
+        """Return how many runs have failed."""
         return len(self.failed_runs)
 
     @property
     def all_active(self) -> bool:
-        """Tell whether all tasks of the unit are at work."""
+        """Return whether all tasks of the unit are active."""
         return len(self.placements) == len(self.indices) and all(
             p.phase is Phase.ACTIVE for p in self.placements.values()
         )
 
     @property
     def lacks_members(self) -> bool:
-        """Tell whether some members of a run are over while others may go on.
+        """Return whether some members of a run have ended while others may be active.
 
-        Only a run that cannot go on as a whole loses members one by one.
+        A run loses members one by one only if it cannot complete.
         """
         return 0 < len(self.placements) < len(self.indices)
 
     @property
     def active_since(self) -> float:
-        """Return when the last of the unit's tasks began to work."""
+        """Return when the last of the unit's tasks became active."""
         return max((p.active_at for p in self.placements.values()), default=0.0)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Job:
-    """A job and its units. ``version`` counts changes that must be durable.
+    """A job and its units. ``version`` counts changes that must become durable.
 
-    ``outcome_version`` is the version that has the job's outcome: later changes,
-    such as the last members of a gang that list their ends, do not alter it.
+    ``durable_version`` is the newest stored version. ``outcome_version`` is the one
+    that set the job's outcome: later changes, such as ends of the last members of a
+    gang, do not alter the outcome.
     """
 
     accepted: AcceptedJob
@@ -169,16 +170,16 @@
 
     @property
     def terminal(self) -> bool:
-        """Tell whether the job's outcome is settled."""
+        """Return whether the job has its outcome, durable or not."""
         return self.state in TERMINAL
 
     @property
     def settled(self) -> bool:
-        """Tell whether the job's outcome is durable, and so may be shown."""
+        """Return whether the job's outcome is durable, and so may be shown."""
         return self.terminal and self.durable_version >= self.outcome_version
 
     def mark_changed(self) -> None:
-        """Note a change that must become durable."""
+        """Count a change that must become durable."""
         self.version += 1
 
 
@@ -207,11 +208,13 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Worker:
-    """A worker as its leader sees it. Times are the leader's own clock.
+    """A worker as its leader knows it. Times are on the leader's clock.
 
-    ``granted_until`` is when the leases that arrived have ended, ``open_grants``
-    when those without an answer have. ``renewed_until`` is the same without
-    allowance. ``clock_offset_s`` is the worker's clock less the leader's.
+    ``granted_until`` is when the answered leases have expired at the latest;
+    ``open_grants`` has the same for each unanswered lease, by its number.
+    ``renewed_until`` is when the newest answered lease expires, without the margin for
+    clock drift and delays. ``clock_offset_s`` is the worker's clock minus the
+    leader's.
     """
 
     entry: WorkerEntry
@@ -240,25 +243,25 @@
 
     @property
     def worker_id(self) -> str:
-        """Return the incarnation's id."""
+        """Return the id of this incarnation of the worker."""
         return self.entry.worker_id
 
     @property
     def awaits_proof(self) -> bool:
-        """Tell whether a run was stopped of which the worker may list no end."""
+        """Return whether the worker may list no end for some run that was stopped."""
         return any(p.stop_answered and not p.reported for p in self.placements.values())
 
     @property
     def rack(self) -> str:
-        """Return the rack, or an empty text."""
+        """Return the rack, or an empty string if it is not known."""
         return self.entry.rack
 
     @property
     def free(self) -> Resources:
         """Return the capacity that no placement holds."""
         capacity = self.entry.capacity
-        # Asked for every worker in every pass: one amount a task would be made only
-        # to be dropped, which was a tenth of a pass on a full pool.
+        # This runs for each worker in each pass: subtracting one placement at a time
+        # would build a Resources for each, which took a tenth of a pass on a full pool.
         needs = [placement.need for placement in self.placements.values()]
         return Resources(
             capacity.cpu_milli - sum(need.cpu_milli for need in needs),
@@ -268,27 +271,27 @@
 
     @property
     def runs_expire_at(self) -> float:
-        """Return when all that runs there has ended if no call reaches it."""
+        """Return when all runs on the worker have ended if it stays unreachable."""
         return max(self.granted_until, *self.open_grants.values(), 0.0)
 
     def measure_time_left(self, now: float) -> float | None:
-        """Return the least seconds until a draining worker leaves, else None."""
+        """Return the minimum seconds until the worker leaves, or None."""
         if not self.entry.draining:
             return None
         return (self.entry.leaves_in_s or 0.0) - (now - self.entry_seen_at)
 
     @property
     def may_send_lease(self) -> bool:
-        """Tell whether a lease may be sent.
+        """Return whether a lease may be sent.
 
-        While a worker is out of reach, the record says until when its runs may
-        last. It must be corrected before a new lease makes them last longer.
+        While a worker is unreachable, the jobs' records have the expiry of its leases.
+        They must be updated before a new lease extends its runs beyond that.
         """
         self.barrier = [(j, v) for j, v in self.barrier if j.durable_version < v]
         return self.reachable and not self.barrier
 
     def find_last_durable_end(self) -> int:
-        """Return the highest end up to which all are durable."""
+        """Return the number of the last end up to which all ends are durable."""
         durable_version = self.last_end_acknowledged
         for number, job, version in self.unacknowledged_ends:
             if job is not None and job.durable_version < version:
@@ -297,7 +300,7 @@
         return durable_version
 
     def drop_acknowledged_ends(self, number: int) -> None:
-        """Note that the worker was told to forget its ends up to ``number``."""
+        """Drop the ends up to ``number``, which were acknowledged to the worker."""
         self.last_end_acknowledged = max(self.last_end_acknowledged, number)
         self.unacknowledged_ends = [
             row
