--- a/src/firladder/_internal/engine/planning.py
+++ b/src/firladder/_internal/engine/planning.py
@@ -7,8 +7,8 @@
 
 from ..models.workload import Queue, Resources
 from .core import Core
+from .draining import list_units_to_move
 from .estimates import Estimates
-from .evacuation import list_units_to_move
 from .health import find_suspect_pools
 from .idleness import (
     IGNORE_BACKFILL_LIMIT_AFTER_S,
@@ -329,7 +329,7 @@
         self._core.plan_run(unit, workers)
         self._estimates.invalidate(unit)
 
-    def evacuate(self, now: float) -> None:
+    def move_off_draining(self, now: float) -> None:
         """Preempt units on draining workers that leave before the units are done."""
         self._estimates.begin_pass()
         for unit in list_units_to_move(self._core, self._estimates, now):
--- a/src/firladder/_internal/node/term.py
+++ b/src/firladder/_internal/node/term.py
@@ -387,7 +387,7 @@
             now = self.clock.read_monotonic()
             self.core.expire_runs(now)
             self.core.abort_stalled_runs(now)
-            self._planner.evacuate(now)
+            self._planner.move_off_draining(now)
             for attendant in list(self._attendants.values()):
                 attendant.wake()
             self._plan_once()
