--- a/src/firladder/_internal/engine/preemption.py
+++ b/src/firladder/_internal/engine/preemption.py
@@ -165,13 +165,13 @@
         if free.covers(need):
             return []
         worker = self._workers[worker_id]
-        rows = [
+        eligible = [
             u
             for u in list_victims(worker, below=unit.job.accepted.priority)
             if id(u) not in chosen
         ]
         stopped: list[Unit] = []
-        for victim in sorted(rows, key=self._estimate_cost):
+        for victim in sorted(eligible, key=self._estimate_cost):
             stopped.append(victim)
             for placement in victim.placements.values():
                 if placement.worker_id == worker_id:
--- a/src/firladder/_internal/engine/reports.py
+++ b/src/firladder/_internal/engine/reports.py
@@ -76,8 +76,8 @@
                 # Recorded even while the run is given more time: nothing else should
                 # start on this worker.
                 quarantined = record_failure(worker, unit.job.accepted.job_id, now)
-                cheap_only_s = choose_stall_timeout(unit, placement)
-                if not is_stalled(placement, now, longer_than=cheap_only_s):
+                stall_timeout_s = choose_stall_timeout(unit, placement)
+                if not is_stalled(placement, now, longer_than=stall_timeout_s):
                     continue
                 unit.avoided.add(worker.worker_id)
                 self.note(
