--- a/features/engine_attempts.feature
+++ b/features/engine_attempts.feature
@@ -4,7 +4,7 @@
     One member of a gang fails; its end is stored and acknowledged, and the leader
     dies while the other member still stops. If the record tells only of runs that are
     over, the successor starts the hopeless gang once more than its queue allows.
-    Given a gang of 2 whole workers with 2 attempts is at work
+    Given a gang of 2 whole workers with 2 attempts is running
     When one member ends "failed", which becomes durable and is acknowledged
     And a successor reads the records before the other member has ended
     And the other member ends "broken" for the successor
@@ -16,22 +16,22 @@
     A worker is out of reach until its leases have ended, and the run is given up. Back
     again, it lists that the run had failed. If that end is taken for an old one and
     acknowledged, the job gets one attempt too many.
-    Given a gang of 2 whole workers with 2 attempts is at work
-    When the worker of one member is out of reach until its run has lapsed
+    Given a gang of 2 whole workers with 2 attempts is running
+    When the worker of one member is unreachable until its run has expired
     And it comes back and lists that the run had ended "failed"
     Then 1 attempt of the gang is used
 
   Scenario: A failure that a worker lists twice counts once
     A leader dies before an end is acknowledged, and the worker lists it again to the
     successor. Counted twice, the job would fail with an attempt left.
-    Given a gang of 2 whole workers with 2 attempts is at work
+    Given a gang of 2 whole workers with 2 attempts is running
     When both members end "failed", which becomes durable and is not acknowledged
     And a successor reads the records and both ends are listed to it again
     Then 1 attempt of the gang is used
     And the gang is planned again
 
   Scenario: The last attempt's failure ends a job that waits, also when it comes late
-    Given a gang of 2 whole workers with 1 attempt is at work
-    When the worker of one member is out of reach until its run has lapsed
+    Given a gang of 2 whole workers with 1 attempt is running
+    When the worker of one member is unreachable until its run has expired
     And it comes back and lists that the run had ended "failed"
     Then the gang's job is shown as "failed" and is planned no more
--- a/features/engine_days.feature
+++ b/features/engine_days.feature
@@ -6,12 +6,12 @@
     When the day "small_pool" is played with seeds 1 and 2 by "engine" and "easy_backfill"
     Then "engine" serves at least 0.9 of the urgent work's worth
     And "engine" earns at least 1.2 times what "easy_backfill" earns
-    And every job that "engine" began has ended
+    And every job that "engine" started has ended
 
   Scenario: The same day gives the same account
     Two planners can only be compared if nothing but the planner differs.
     When the day "small_pool" is played with seeds 3 and 3 by "engine" and "engine"
-    Then all accounts are the same
+    Then all outcomes are the same
 
   Scenario: Workers that go take their work along, and it is done elsewhere
     One worker in ten goes without notice on a full day.
@@ -36,8 +36,8 @@
     last; thousands of like tasks wait, and each looks for room on all workers. Kept for a
     moment too long, the answers would send gangs to the wrong workers, or leave work
     waiting beside free room.
-    When "<day>" is played with seed <seed>, with and without what passes keep
-    Then both accounts are the same
+    When "<day>" is played with seed <seed>, with and without the caches of passes
+    Then both outcomes are the same
 
     Examples:
       | day            | seed |
--- a/features/engine_domains.feature
+++ b/features/engine_domains.feature
@@ -7,15 +7,15 @@
     Guards against work that is placed in a domain whose evacuation was requested.
     Given domain "a" is evacuated
     When the core is given "<work>"
-    Then it begins on workers of domain "b"
+    Then it starts on workers of domain "b"
 
     Examples:
-      | work                                |
-      | a task                              |
-      | an urgent task                      |
-      | a gang of 4 tasks                   |
-      | a gang of 2 tasks in one rack       |
-      | a task whose data is there          |
+      | work                          |
+      | a task                        |
+      | an urgent task                |
+      | a gang of 4 tasks             |
+      | a gang of 2 tasks in one rack |
+      | a task whose data is there    |
 
   Scenario: Work that is not known to be at work there is withdrawn
     Guards against starts that leave, or are repeated, after the evacuation.
@@ -26,17 +26,17 @@
 
   Scenario: Work that is at work there goes on
     Guards against work thrown away for a request that asks only for nothing new.
-    Given a gang of 8 tasks is at work over both domains
+    Given a gang of 8 tasks is running over both domains
     When domain "a" is evacuated
-    Then the gang is at work
+    Then the gang is running
 
   Scenario: Urgent work makes no room there
     Guards against stopping work whose room may not be used.
-    Given a gang of 8 tasks is at work over both domains
+    Given a gang of 8 tasks is running over both domains
     And domain "a" is evacuated
     When the core is given "an urgent gang of 2 tasks"
     And the workers' stops have ended
-    Then it begins on workers of domain "b"
+    Then it starts on workers of domain "b"
 
   Scenario: Work waits while every domain is evacuated, and begins when one is taken back
     Guards against work that is lost or refused for want of any open domain.
@@ -44,19 +44,19 @@
     And domain "b" is evacuated
     When the core is given "a task"
     Then it waits
-    When domain "b" is taken back
-    Then it begins on workers of domain "b"
+    When domain "b" is no longer evacuated
+    Then it starts on workers of domain "b"
 
   Scenario: Room kept in a domain is given up when it is evacuated
     Guards against urgent work that waits for room made where it may not begin.
-    Given a gang of 8 tasks is at work over both domains
-    And an urgent gang of 2 tasks has room made in domain "a"
+    Given a gang of 8 tasks is running over both domains
+    And an urgent gang of 2 tasks has preempted work in domain "a"
     When domain "a" is evacuated
     And the workers' stops have ended
-    Then it begins on workers of domain "b"
+    Then it starts on workers of domain "b"
 
   Scenario: A domain that nobody knows changes nothing
     Guards against a request for another site's domain that stops this one.
     Given domain "elsewhere" is evacuated
     When the core is given "a gang of 8 tasks"
-    Then it begins on workers of both domains
+    Then it starts on workers of both domains
--- a/features/engine_idle.feature
+++ b/features/engine_idle.feature
@@ -8,8 +8,8 @@
     Given 8 workers in 1 rack, 1 of them busy for 10 s
     And a gang that needs all 8 waits
     When a task that takes 20 s arrives
-    Then it is not begun at once
-    But it is begun within 5 s
+    Then it is not started at once
+    But it is started within 5 s
 
   Scenario: Workers kept for a wide gang stay kept on a busy pool
     Where most of the pool is at work, small work that takes each worker as it comes
@@ -17,7 +17,7 @@
     Given 8 workers in 1 rack, 5 of them busy for 10 s
     And a gang that needs all 8 waits
     When a task that takes 20 s arrives
-    Then it is not begun within 9 s
+    Then it is not started within 9 s
 
   Scenario: Work whose data is in a rack that nobody can use goes elsewhere
     A rack is cut off, or all of its workers leave. Work that prefers it is slower
@@ -25,11 +25,11 @@
     Given 8 workers in 2 racks, 0 of them busy for 10 s
     And no worker of the first rack can be used
     When a task whose data is in the first rack arrives
-    Then it is not begun within 3 s
-    But it is begun within 11 s
+    Then it is not started within 3 s
+    But it is started within 11 s
 
   Scenario: A gang that wants one rack takes two when no rack has room for long
     Given 8 workers in 2 racks, 2 of them busy for 10 s
     When a gang of 4 workers in one rack arrives
-    Then it is not begun within 3 s
-    But it is begun within 11 s
+    Then it is not started within 3 s
+    But it is started within 11 s
--- a/features/engine_lost_orders.feature
+++ b/features/engine_lost_orders.feature
@@ -20,13 +20,13 @@
     Then the task is not ordered again before its stop is answered and it is not listed
 
     Examples:
-      | answer               |
-      | is turned away       |
-      | does not leave       |
-      | is rejected for room |
+      | answer                           |
+      | is refused                       |
+      | is not sent                      |
+      | is rejected for lack of capacity |
 
   Scenario: A run that is given up before its start left frees its room at once
     Guards against room that is stopped and looked for although nothing was ever sent.
     Given an urgent job of 2.5 s that is ordered at once
-    When it is given up while its start still waits to be sent
-    Then its room is free without a stop or a look
+    When it is aborted while its start still waits to be sent
+    Then its capacity is free without a stop or a poll
--- a/features/engine_policy.feature
+++ b/features/engine_policy.feature
@@ -45,7 +45,7 @@
     Young work and work that saves its progress lose little by a stop; work that is
     nearly done, or a wide gang, loses much.
     Given an engine with 1 rack of 3 workers
-    And whole-worker jobs are at work: "old" for 8 s, "saving" for 8 s, "young" for 3 s
+    And whole-worker jobs are running: "old" for 8 s, "saving" for 8 s, "young" for 3 s
     When an urgent job of 1 whole worker arrives
     Then only "saving" is stopped for it
 
@@ -53,7 +53,7 @@
     A gang over many workers has run for some seconds. Breaking it for one small job
     throws away more work than the job is worth, and both end late.
     Given an engine with 1 rack of 8 workers
-    And a gang of 8 whole workers has been at work for 8 s
+    And a gang of 8 whole workers has been running for 8 s
     When an urgent job of 1 task with 1 accelerator arrives
     Then nothing is stopped for it
 
@@ -63,7 +63,7 @@
     an owner whose work had not begun by then would have been promised too much.
     Given an engine with 1 rack of 8 workers
     And organisation "owner" is guaranteed 16 accelerators
-    And a gang of 8 whole workers has been at work for 8 s
+    And a gang of 8 whole workers has been running for 8 s
     When an urgent job of 1 task with 1 accelerator of "owner" arrives
     Then nothing is stopped for it
     When 0.65 seconds have passed
@@ -71,12 +71,12 @@
     Then nothing is stopped for it
     When 0.1 seconds have passed
     And a pass is made
-    Then the gang is stopped for it, and it is planned when the room is free
+    Then the gang is stopped for it, and it is planned when the capacity is free
 
   Scenario: A guarantee is reclaimed at once where little is lost
     Given an engine with 1 rack of 8 workers
     And organisation "owner" is guaranteed 16 accelerators
-    And whole-worker jobs are at work: "old" for 8 s, "saving" for 8 s, "young" for 3 s
+    And whole-worker jobs are running: "old" for 8 s, "saving" for 8 s, "young" for 3 s
     And 5 whole-worker jobs of 3 s fill the rest
     When an urgent job of 1 task with 1 accelerator of "owner" arrives
     Then only "saving" is stopped for it
@@ -86,7 +86,7 @@
     gang waits for whole workers, which are never free at once.
     Given an engine with 1 rack of 4 workers
     When small tasks of 4 s arrive every 0.25 s, and a gang of 4 whole workers at 5 s
-    Then the gang begins within 15 s of its arrival
+    Then the gang starts within 15 s of its arrival
     And small tasks go on being started after it
 
   Scenario: Small tasks leave whole workers free
@@ -125,8 +125,8 @@
     Twice the room is asked for at once, by urgent, heavy and small jobs, while one
     worker is slow to free itself.
     Given an engine with 3 racks of 4 workers
-    When heavy and small jobs for twice the room arrive, and an urgent gang each second
-    Then 9 in 10 urgent gangs begin within 1 s
+    When heavy and small jobs for twice the capacity arrive, and an urgent gang each second
+    Then 9 in 10 urgent gangs start within 1 s
     And all jobs end at last
 
   Scenario: Work that saves its progress loses no more by a stop than the settings say
@@ -134,6 +134,6 @@
     reckons with a fixed loss takes saved work for dearer than it is where workers
     restore fast, and stops young work in its place, which is lost.
     Given an engine with 1 rack of 2 workers
-    And whole-worker jobs are at work: "saving" for 8 s, "young" for 0.4 s
+    And whole-worker jobs are running: "saving" for 8 s, "young" for 0.4 s
     When an urgent job of 1 whole worker arrives
     Then only "saving" is stopped for it
--- a/features/engine_refusing.feature
+++ b/features/engine_refusing.feature
@@ -14,9 +14,9 @@
       | 6.0  | 3     |
 
   Scenario: Four tries reach across an outage of seven seconds
-    Given a store that is away for 7 s
+    Given a store that is unavailable for 7 s
     When a caller comes at the first moment and obeys each answer, four times at most
-    Then its last try meets a store that answers
+    Then its last attempt reaches a store that answers
 
   Scenario Outline: Small VMs let larger ones lead
     A VM with a slow link or processor wins the election, keeps its lease, and takes
--- a/features/engine_runs.feature
+++ b/features/engine_runs.feature
@@ -16,26 +16,26 @@
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is started
     When the start of "a" gets no answer
-    Then "a" is ordered to stop and holds its room
-    When a look that left before the stop was answered does not list "a"
-    Then "a" holds its room
-    When the stop of "a" is answered and a later look does not list it
+    Then "a" is ordered to stop and holds its capacity
+    When a poll sent before the stop was answered does not list "a"
+    Then "a" holds its capacity
+    When the stop of "a" is answered and a later poll does not list it
     Then "a" is planned again under run 2
 
   Scenario: A run that cannot be reached is not started again before its lease ends
     A worker is cut off and runs on. Until the longest lease that may have reached
     it has ended, the task may still be at work there.
     Given an engine with 2 workers of 8 accelerators
-    And job "a" of 1 task with 8 accelerators is at work
-    When its worker is out of reach for 9 seconds
-    Then "a" is still at work as far as the engine knows
-    When its worker is out of reach for 13 seconds
+    And job "a" of 1 task with 8 accelerators is running
+    When its worker is unreachable for 9 seconds
+    Then "a" is still running as far as the engine knows
+    When its worker is unreachable for 13 seconds
     Then "a" waits for its next run
 
   Scenario: A worker's next life proves that the runs of the last one are over
     A worker crashes and another incarnation answers at its address.
     Given an engine with 2 workers of 8 accelerators
-    And job "a" of 1 task with 8 accelerators is at work
+    And job "a" of 1 task with 8 accelerators is running
     When another incarnation answers for its worker
     Then "a" waits for its next run
 
@@ -53,7 +53,7 @@
     A leader acknowledges the end of a run and dies before it is stored. The worker
     has forgotten the end; the successor would run the finished job once more.
     Given an engine with 2 workers of 8 accelerators
-    And job "a" of 1 task with 8 accelerators is at work
+    And job "a" of 1 task with 8 accelerators is running
     When the end "done" of "a" is listed
     Then "a" is shown as "running" and its end is not acknowledged
     When what has changed becomes durable
@@ -65,9 +65,9 @@
     one of no run, it was acknowledged at once, and a successor, whose records did
     not have it, ran the finished job once more.
     Given an engine with 2 workers of 8 accelerators
-    And job "a" of 1 task with 8 accelerators is at work
+    And job "a" of 1 task with 8 accelerators is running
     When the end "done" of "a" is listed
-    And its worker's entry lapses and comes back, and the end is listed again
+    And its worker's entry expires and comes back, and the end is listed again
     Then "a" is shown as "running" and its end is not acknowledged
     When what has changed becomes durable
     Then "a" is shown as "completed" and its end is acknowledged
@@ -76,7 +76,7 @@
     The leader dies with a task at work. Its successor reads that the task is
     with a worker, and may not start it elsewhere before that worker has answered.
     Given an engine with 2 workers of 8 accelerators
-    And job "a" of 1 task with 8 accelerators is at work
+    And job "a" of 1 task with 8 accelerators is running
     When a successor loads what was durable
     Then "a" is not planned by the successor
     When the worker tells the successor that "a" is at 40 per cent
@@ -87,18 +87,18 @@
     successor cannot know when the lease was granted; reckoning from its own begin,
     it would leave the job waiting for half a minute beside idle workers.
     Given an engine with 2 workers of 8 accelerators
-    And job "a" of 1 task with 8 accelerators is at work
-    When its worker is out of reach for 9 seconds
+    And job "a" of 1 task with 8 accelerators is running
+    When its worker is unreachable for 9 seconds
     And a successor loads what was durable at second 9
-    And the successor finds the worker out of reach for 5 seconds
+    And the successor finds the worker unreachable for 5 seconds
     Then "a" waits for its next run
 
   Scenario: A lease is granted again only when the record of its end is corrected
     A worker returns after a cut. The records say that its runs end soon; if the
     leader renews the lease and dies, the successor would start them a second time.
     Given an engine with 2 workers of 8 accelerators
-    And job "a" of 1 task with 8 accelerators is at work
-    When its worker is out of reach for 3 seconds
+    And job "a" of 1 task with 8 accelerators is running
+    When its worker is unreachable for 3 seconds
     And what has changed becomes durable
     And its worker answers again
     Then no lease may be sent to it
@@ -119,7 +119,7 @@
     failures count as attempts; otherwise a caller is told too early that its job
     cannot be done.
     Given an engine with 2 workers of 8 accelerators
-    And job "a" of 1 task with 8 accelerators and 2 attempts is at work
+    And job "a" of 1 task with 8 accelerators and 2 attempts is running
     When "a" ends as "stopped", and then as "failed", each time started again
     Then "a" is shown as "running"
     When "a" ends as "failed" once more
@@ -131,7 +131,7 @@
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is started
     When "a" is cancelled
-    Then "a" is ordered to stop and holds its room
+    Then "a" is ordered to stop and holds its capacity
     And no pass plans "a" again
 
   Scenario: A completed job stays completed while the rest of its gang ends
@@ -152,7 +152,7 @@
     as cancelled. Asked next, the leader, whose own write still waits for a slow
     store, told that it is running.
     Given an engine with 2 workers of 8 accelerators
-    And job "a" of 1 task with 8 accelerators is at work
+    And job "a" of 1 task with 8 accelerators is running
     When "a" is cancelled
     Then "a" is shown as "cancelled"
 
@@ -160,7 +160,7 @@
     The job's last task ends while its cancellation is on its way. Nodes that read
     the records show it as cancelled; the leader must not contradict them later.
     Given an engine with 2 workers of 8 accelerators
-    And job "a" of 1 task with 8 accelerators is at work
+    And job "a" of 1 task with 8 accelerators is running
     When the end "done" of "a" is listed
     And "a" is cancelled
     Then "a" is shown as "cancelled"
@@ -182,7 +182,7 @@
     Then no worker is ever over its capacity
     And no task ever runs twice at once or after it is done
     And every order carries a higher run number than the last one of its task
-    And no member of a gang starts under an older run than its mates
+    And no member of a gang starts under an older run than the other members
     And no task starts whose attempts are used up
 
     Examples:
@@ -196,7 +196,7 @@
     The same events, and every other job fails whenever it runs. A failure that is
     forgotten with its leader or its lost worker starts a hopeless job once more: it
     takes room, and its caller hears of the failure later.
-    When <events> random events reach an engine with hopeless jobs, seed <seed>
+    When <events> random events reach an engine with jobs that always fail, seed <seed>
     Then no worker is ever over its capacity
     And no task ever runs twice at once or after it is done
     And no task starts whose attempts are used up
@@ -211,4 +211,4 @@
     The same events as above, drawn by a library that seeks rare mixtures and can cut
     a failing history down. A caller would see a task run twice, or not at all.
     When hypothesis draws 200 histories of 120 events
-    Then each history keeps room, runs and gangs
+    Then each history respects capacities, runs and gangs
--- a/features/steps/engine_attempts_steps.py
+++ b/features/steps/engine_attempts_steps.py
@@ -38,8 +38,8 @@
             worker.drop_acknowledged_ends(worker.find_last_durable_end())
 
 
-@given("a gang of 2 whole workers with {attempts:d} attempts is at work")
-@given("a gang of 2 whole workers with {attempts:d} attempt is at work")
+@given("a gang of 2 whole workers with {attempts:d} attempts is running")
+@given("a gang of 2 whole workers with {attempts:d} attempt is running")
 def make_gang(context, attempts):
     context.gang = GangWorld(attempts)
     assert context.gang.unit.all_active
@@ -69,7 +69,7 @@
     assert context.gang.unit.state is UnitState.WAITING
 
 
-@when("the worker of one member is out of reach until its run has lapsed")
+@when("the worker of one member is unreachable until its run has expired")
 def lapse(context):
     gang = context.gang
     worker = gang.core.workers[gang.members[0].worker_id]
--- a/features/steps/engine_days_steps.py
+++ b/features/steps/engine_days_steps.py
@@ -35,13 +35,13 @@
     assert earned[0] >= factor * earned[1], earned
 
 
-@then('every job that "{name}" began has ended')
+@then('every job that "{name}" started has ended')
 def check_begun(context, name):
     missed = [o.missed_by for o in context.outcomes[name]]
     assert not any("never begun" in row for row in missed), missed
 
 
-@then("all accounts are the same")
+@then("all outcomes are the same")
 def check_same(context):
     outcomes = [o for rows in context.outcomes.values() for o in rows]
     assert len(outcomes) == 2
@@ -158,12 +158,12 @@
         self._shortages = ForgetfulShortages()
 
 
-@when('"{name}" is played with seed {seed:d}, with and without what passes keep')
+@when('"{name}" is played with seed {seed:d}, with and without the caches of passes')
 def play_both(context, name, seed):
     day = DAYS.find(name)(seed)
     context.both = [DayDriver(day, p).run() for p in (Planner, ForgetfulPlanner)]
 
 
-@then("both accounts are the same")
+@then("both outcomes are the same")
 def check_both(context):
     assert context.both[0] == context.both[1], context.both
--- a/features/steps/engine_domains_steps.py
+++ b/features/steps/engine_domains_steps.py
@@ -27,7 +27,7 @@
     core.evacuate_domains(core.evacuated | {domain})
 
 
-@when('domain "{domain}" is taken back')
+@when('domain "{domain}" is no longer evacuated')
 def take_back(context, domain):
     core = context.engine.core
     core.evacuate_domains(core.evacuated - {domain})
@@ -59,7 +59,7 @@
     assert find_domains(context) == {"a", "b"}
 
 
-@given("a gang of 8 tasks is at work over both domains")
+@given("a gang of 8 tasks is running over both domains")
 def run_gang(context):
     engine = context.engine
     engine.submit(make_job("first", STEPS["a gang of 8 tasks"][0], at=engine.now))
@@ -75,13 +75,13 @@
     }
 
 
-@then('it begins on workers of domain "{domain}"')
+@then('it starts on workers of domain "{domain}"')
 def check_begins(context, domain):
     context.engine.plan()
     assert find_domains(context) == {domain}, find_domains(context)
 
 
-@then("it begins on workers of both domains")
+@then("it starts on workers of both domains")
 def check_begins_everywhere(context):
     assert find_domains(context) == {"a", "b"}, find_domains(context)
 
@@ -105,13 +105,13 @@
     assert context.engine.find_unit("last").state is UnitState.WAITING
 
 
-@then("the gang is at work")
+@then("the gang is running")
 def check_at_work(context):
     context.engine.plan()
     assert context.engine.find_unit("first").all_active
 
 
-@given('an urgent gang of 2 tasks has room made in domain "a"')
+@given('an urgent gang of 2 tasks has preempted work in domain "a"')
 def make_room(context):
     core = context.engine.core
     core.evacuate_domains(frozenset(("b",)))
--- a/features/steps/engine_evictions_steps.py
+++ b/features/steps/engine_evictions_steps.py
@@ -43,7 +43,7 @@
 
 
 @given(
-    '"patient" at work for {short:f} s beside a gang "new" of 2 at work for {long:f} s'
+    '"patient" running for {short:f} s beside a gang "new" of 2 running for {long:f} s'
 )
 def begin_both(context, short, long):
     world = context.world
@@ -53,12 +53,12 @@
     world.now += short
 
 
-@when("an urgent job of one task finds no room")
+@when("an urgent job of one task finds no free capacity")
 def find_no_room(context):
     submit_urgent(context.world)
 
 
-@given("workers 0 to 3, and two gangs of 2 at work on them")
+@given("workers 0 to 3, and two gangs of 2 running on them")
 def begin_two(context):
     context.world = EngineWorld(4)
     for name in ("one", "two"):
@@ -66,7 +66,7 @@
     context.world.now += 1.0
 
 
-@when("an urgent job of one task makes room")
+@when("an urgent job of one task preempts work")
 def make_room(context):
     submit_urgent(context.world)
     assert len(list_stopped(context.world, ("one", "two"))) == 1
@@ -121,12 +121,12 @@
     return world.find_unit(context.stopped[0]).all_active
 
 
-@then("the stopped gang does not begin within {seconds:f} s")
+@then("the stopped gang does not start within {seconds:f} s")
 def check_rests(context, seconds):
     assert not begins_within(context, seconds)
 
 
-@then("it begins within {seconds:f} s")
+@then("it starts within {seconds:f} s")
 def check_begins(context, seconds):
     assert begins_within(context, seconds)
 
@@ -141,6 +141,6 @@
     assert len(context.stopped) == 2, context.stopped
 
 
-@then("the urgent job has begun")
+@then("the urgent job has started")
 def check_begun(context):
     assert context.world.find_unit("urgent").all_active
--- a/features/steps/engine_gang_start_steps.py
+++ b/features/steps/engine_gang_start_steps.py
@@ -5,13 +5,13 @@
 from firladder._internal.exceptions import SentUnanswered
 
 
-@given("a gang of 3 of which two members are at work and one is {third}")
+@given("a gang of 3 of which two members are running and one is {third}")
 def start_gang(context, third):
     engine = context.engine = EngineWorld(3)
     engine.submit(make_job("gang", make_step(3, gang=True)))
     context.members = engine.start_all()
     assert len(context.members) == 3
-    engine.accept(context.members[: 3 if third == "at work" else 2])
+    engine.accept(context.members[: 3 if third == "running" else 2])
 
 
 @when("the start of the third gets no answer")
@@ -22,7 +22,7 @@
     engine.core.handle_start_answer(context.members[2], lost, engine.now)
 
 
-@when("a look does not list the third, nor any end of it")
+@when("a poll does not list the third, nor any end of it")
 def miss_third(context):
     engine = context.engine
     engine.now += 1.0
--- a/features/steps/engine_idle_steps.py
+++ b/features/steps/engine_idle_steps.py
@@ -73,17 +73,17 @@
     return False
 
 
-@then("it is not begun at once")
+@then("it is not started at once")
 def check_waits(context):
     assert not plan_for(context, 1.0)
 
 
-@then("it is begun within {seconds:d} s")
+@then("it is started within {seconds:d} s")
 def check_begun(context, seconds):
     arrived_at = context.engine.accepted["last"].accepted_at_s
     assert plan_for(context, arrived_at + seconds - context.engine.now)
 
 
-@then("it is not begun within {seconds:d} s")
+@then("it is not started within {seconds:d} s")
 def check_kept(context, seconds):
     assert not plan_for(context, float(seconds))
--- a/features/steps/engine_lost_orders_steps.py
+++ b/features/steps/engine_lost_orders_steps.py
@@ -16,9 +16,11 @@
 LOST = SentUnanswered(reason="no answer")
 
 REPETITIONS = {
-    "is turned away": WorkerRefused(reason="503"),
-    "does not leave": NotSent(reason="cannot connect"),
-    "is rejected for room": OrderRejected(reason="409 room", rejection="no_room"),
+    "is refused": WorkerRefused(reason="503"),
+    "is not sent": NotSent(reason="cannot connect"),
+    "is rejected for lack of capacity": OrderRejected(
+        reason="409 room", rejection="no_room"
+    ),
 }
 
 
@@ -87,14 +89,14 @@
     assert [p.run for p in engine.start_all()] == [2]
 
 
-@when("it is given up while its start still waits to be sent")
+@when("it is aborted while its start still waits to be sent")
 def give_up_unsent(context):
     engine, placement = context.engine, context.placement
     engine.core.preempt(placement.unit)
     engine.core.drop_unsent(placement)
 
 
-@then("its room is free without a stop or a look")
+@then("its capacity is free without a stop or a poll")
 def check_free(context):
     engine, placement = context.engine, context.placement
     worker = engine.core.workers[placement.worker_id]
--- a/features/steps/engine_policy_steps.py
+++ b/features/steps/engine_policy_steps.py
@@ -142,7 +142,7 @@
 
 
 @given(
-    'whole-worker jobs are at work: "old" for 8 s, "saving" for 8 s, "young" for 3 s'
+    'whole-worker jobs are running: "old" for 8 s, "saving" for 8 s, "young" for 3 s'
 )
 def add_three(context):
     submit(context, "old", make_step(), priority=1, takes_s=10.0)
@@ -150,7 +150,7 @@
     begin_young(context, 3.0)
 
 
-@given('whole-worker jobs are at work: "saving" for 8 s, "young" for 0.4 s')
+@given('whole-worker jobs are running: "saving" for 8 s, "young" for 0.4 s')
 def add_two(context):
     begin_saving(context, 7.6)
     begin_young(context, 0.4)
@@ -176,7 +176,7 @@
     context.engine.now += 3.0
 
 
-@given("a gang of 8 whole workers has been at work for 8 s")
+@given("a gang of 8 whole workers has been running for 8 s")
 def add_wide(context):
     submit(context, "wide", make_step(8, 8, gang=True), priority=1, takes_s=10.0)
     start_now(context)
@@ -217,7 +217,7 @@
     assert list_stopped(context) == set()
 
 
-@then("the gang is stopped for it, and it is planned when the room is free")
+@then("the gang is stopped for it, and it is planned when the capacity is free")
 def check_reclaimed(context):
     engine = context.engine
     assert list_stopped(context) == {"wide"}
@@ -322,7 +322,7 @@
             context.arrived = engine.now
 
 
-@then("the gang begins within {seconds:d} s of its arrival")
+@then("the gang starts within {seconds:d} s of its arrival")
 def check_gang_begins(context, seconds):
     began = context.clockwork.began.get("gang")
     assert began is not None
@@ -347,7 +347,9 @@
     assert len({p.worker_id for p in context.started}) == count
 
 
-@when("heavy and small jobs for twice the room arrive, and an urgent gang each second")
+@when(
+    "heavy and small jobs for twice the capacity arrive, and an urgent gang each second"
+)
 def burst(context):
     engine = context.engine
     takes: dict[str, float] = {}
@@ -370,7 +372,7 @@
     clockwork.run(engine.now + 90.0)
 
 
-@then("9 in 10 urgent gangs begin within 1 s")
+@then("9 in 10 urgent gangs start within 1 s")
 def check_urgent(context):
     began = context.clockwork.began
     waits = sorted(began[i] - at for i, at in context.urgent.items())
--- a/features/steps/engine_refusing_steps.py
+++ b/features/steps/engine_refusing_steps.py
@@ -16,7 +16,7 @@
     assert round(context.later) == later, context.later
 
 
-@given("a store that is away for {seconds:d} s")
+@given("a store that is unavailable for {seconds:d} s")
 def lose_store(context, seconds):
     context.away = seconds
 
@@ -30,7 +30,7 @@
     context.last = now
 
 
-@then("its last try meets a store that answers")
+@then("its last attempt reaches a store that answers")
 def check_last(context):
     assert context.last > context.away, context.last
 
--- a/features/steps/engine_runs_steps.py
+++ b/features/steps/engine_runs_steps.py
@@ -37,13 +37,13 @@
     context.started = context.engine.start_all()
 
 
-@given('job "{name}" of 1 task with 8 accelerators is at work')
+@given('job "{name}" of 1 task with 8 accelerators is running')
 def run_one(context, name):
     start_one(context, name)
     accept_started(context)
 
 
-@given('job "{name}" of 1 task with 8 accelerators and 2 attempts is at work')
+@given('job "{name}" of 1 task with 8 accelerators and 2 attempts is running')
 def run_two_attempts(context, name):
     context.engine.submit(make_job(name, make_step(), attempts=2))
     context.started = context.engine.start_all()
@@ -86,7 +86,7 @@
     context.placement = placement
 
 
-@then('"{name}" is ordered to stop and holds its room')
+@then('"{name}" is ordered to stop and holds its capacity')
 def check_stopping(context, name):
     engine = context.engine
     placement = engine.find_placement(name)
@@ -94,7 +94,7 @@
     check_room_held(context, name)
 
 
-@then('"{name}" holds its room')
+@then('"{name}" holds its capacity')
 def check_room_held(context, name):
     engine = context.engine
     worker = engine.core.workers[engine.find_placement(name).worker_id]
@@ -102,7 +102,7 @@
     assert engine.plan() == 0
 
 
-@when('a look that left before the stop was answered does not list "{name}"')
+@when('a poll sent before the stop was answered does not list "{name}"')
 def look_early(context, name):
     engine = context.engine
     worker = engine.core.workers[context.placement.worker_id]
@@ -111,7 +111,7 @@
     engine.report(worker, sent_at=sent_at)
 
 
-@when('the stop of "{name}" is answered and a later look does not list it')
+@when('the stop of "{name}" is answered and a later poll does not list it')
 def look_late(context, name):
     engine = context.engine
     engine.core.handle_stop_answer(context.placement, engine.now, engine.now)
@@ -125,7 +125,7 @@
     assert context.engine.find_unit(name).run == 2
 
 
-@when("its worker is out of reach for {seconds:d} seconds")
+@when("its worker is unreachable for {seconds:d} seconds")
 def lose_reach(context, seconds):
     engine = context.engine
     began = getattr(context, "began", None)
@@ -144,7 +144,7 @@
     context.engine.succeed()
 
 
-@when("the successor finds the worker out of reach for {seconds:d} seconds")
+@when("the successor finds the worker unreachable for {seconds:d} seconds")
 def lose_reach_again(context, seconds):
     engine = context.engine
     placement = engine.find_placement("a")
@@ -170,7 +170,7 @@
     assert context.worker.may_send_lease
 
 
-@then('"{name}" is still at work as far as the engine knows')
+@then('"{name}" is still running as far as the engine knows')
 def check_still(context, name):
     assert context.engine.find_unit(name).state is UnitState.BUSY
 
@@ -232,7 +232,7 @@
     assert worker.find_last_durable_end() == 0
 
 
-@when("its worker's entry lapses and comes back, and the end is listed again")
+@when("its worker's entry expires and comes back, and the end is listed again")
 def lapse_entry(context):
     engine, placement = context.engine, context.placement
     worker = engine.core.workers[placement.worker_id]
@@ -349,7 +349,9 @@
     context.chaos.play(events)
 
 
-@when("{events:d} random events reach an engine with hopeless jobs, seed {seed:d}")
+@when(
+    "{events:d} random events reach an engine with jobs that always fail, seed {seed:d}"
+)
 def play_hopeless(context, events, seed):
     context.chaos = Chaos(random.Random(seed), hopeless=True)
     context.chaos.play(events)
@@ -379,7 +381,7 @@
     check_history()
 
 
-@then("each history keeps room, runs and gangs")
+@then("each history respects capacities, runs and gangs")
 def check_histories(context):
     assert len(context.histories) >= 50, len(context.histories)
     assert sum(context.histories) > 100, sum(context.histories)
@@ -406,7 +408,7 @@
     find_problems(context, "run number")
 
 
-@then("no member of a gang starts under an older run than its mates")
+@then("no member of a gang starts under an older run than the other members")
 def check_gangs(context):
     find_problems(context, "member")
 
--- a/features/steps/engine_stalls_steps.py
+++ b/features/steps/engine_stalls_steps.py
@@ -43,7 +43,7 @@
 
 
 @given(
-    'workers {first:d} to {last:d} at work on a gang "{name}" of {count:d} since {at} s'
+    'workers {first:d} to {last:d} running a gang "{name}" of {count:d} since {at} s'
 )
 def begin_gang(context, first, last, name, count, at):
     if not hasattr(context, "world"):
@@ -65,7 +65,7 @@
         world.claim(world.core.register_worker(entry, now=world.now))
 
 
-@given('workers 0 to 2 at work on a gang "{name}" of 3, {saving}, since 0 s')
+@given('workers 0 to 2 running a gang "{name}" of 3, {saving}, since 0 s')
 def begin_saving(context, name, saving):
     context.world = EngineWorld(3)
     context.began = context.world.now
@@ -73,7 +73,7 @@
     begin(context, name, 3, checkpoints=saves, accelerators=4)
 
 
-@given('a gang "{name}" of 3 at work beside it')
+@given('a gang "{name}" of 3 running beside it')
 def begin_beside(context, name):
     begin(context, name, 3, accelerators=4)
 
@@ -114,7 +114,7 @@
     assert unit.all_active, [p.phase for p in unit.placements.values()]
 
 
-@then('the run of "{name}" is given up')
+@then('the run of "{name}" is aborted')
 def check_given_up(context, name):
     assert not context.world.find_unit(name).all_active
 
@@ -141,7 +141,7 @@
     look(context, {name: (percent,) * 3})
 
 
-@when("an urgent job of one task finds no room after {at:d} s")
+@when("an urgent job of one task finds no free capacity after {at:d} s")
 def find_no_room(context, at):
     world = context.world
     world.now = context.began + at
@@ -193,7 +193,7 @@
         world.report(worker, rows)
 
 
-@when("an urgent job of one task finds no room there")
+@when("an urgent job of one task finds no free capacity there")
 def find_no_room_there(context):
     submit_urgent(context.world)
 
