--- a/features/steps/engine_attempts_steps.py
+++ b/features/steps/engine_attempts_steps.py
@@ -1,7 +1,7 @@
 from behave import given, then, when
 
 from features.support.engine_world import (
-    HOLD_S,
+    LEASE_S,
     EngineWorld,
     make_job,
     make_step,
@@ -11,7 +11,7 @@
 
 
 class GangWorld(EngineWorld):
-    """An engine of four workers with one gang of two tasks at work."""
+    """An engine of four workers with one running gang of two tasks."""
 
     def __init__(self, attempts: int) -> None:
         super().__init__(4)
@@ -70,11 +70,11 @@
 
 
 @when("the worker of one member is unreachable until its run has expired")
-def lapse(context):
+def expire_run(context):
     gang = context.gang
     worker = gang.core.workers[gang.members[0].worker_id]
     gang.core.mark_unreachable(worker, gang.now)
-    gang.now += 2 * HOLD_S
+    gang.now += 2 * LEASE_S
     gang.core.expire_runs(gang.now)
     gang.list_end(1, "broken")
     gang.make_durable()
--- a/features/steps/engine_days_steps.py
+++ b/features/steps/engine_days_steps.py
@@ -36,7 +36,7 @@
 
 
 @then('every job that "{name}" started has ended')
-def check_begun(context, name):
+def check_started(context, name):
     missed = [o.missed_by for o in context.outcomes[name]]
     assert not any("never begun" in row for row in missed), missed
 
@@ -130,8 +130,8 @@
     assert right in result.stderr, result.stderr
 
 
-class ForgetfulEstimates(Estimates):
-    """Works every time out anew."""
+class UncachedEstimates(Estimates):
+    """Computes each estimate anew."""
 
     def estimate_remaining(self, unit, now):
         self.begin_pass()
@@ -142,26 +142,26 @@
         return super().estimate_time_to_free(candidate, now)
 
 
-class ForgetfulShortages(Shortages):
-    """Looks at each worker for each wish."""
+class UncachedShortages(Shortages):
+    """Checks each worker for each demand."""
 
     def rules_out(self, demand):
         return False
 
 
-class ForgetfulPlanner(Planner):
-    """Plans without anything kept within a pass."""
+class UncachedPlanner(Planner):
+    """Plans without the caches of a pass."""
 
     def __init__(self, core, **settings):
         super().__init__(core, **settings)
-        self._estimates = ForgetfulEstimates(core)
-        self._shortages = ForgetfulShortages()
+        self._estimates = UncachedEstimates(core)
+        self._shortages = UncachedShortages()
 
 
 @when('"{name}" is played with seed {seed:d}, with and without the caches of passes')
 def play_both(context, name, seed):
     day = DAYS.find(name)(seed)
-    context.both = [DayDriver(day, p).run() for p in (Planner, ForgetfulPlanner)]
+    context.both = [DayDriver(day, p).run() for p in (Planner, UncachedPlanner)]
 
 
 @then("both outcomes are the same")
--- a/features/steps/engine_domains_steps.py
+++ b/features/steps/engine_domains_steps.py
@@ -28,7 +28,7 @@
 
 
 @when('domain "{domain}" is no longer evacuated')
-def take_back(context, domain):
+def end_evacuation(context, domain):
     core = context.engine.core
     core.evacuate_domains(core.evacuated - {domain})
 
@@ -76,13 +76,13 @@
 
 
 @then('it starts on workers of domain "{domain}"')
-def check_begins(context, domain):
+def check_starts(context, domain):
     context.engine.plan()
     assert find_domains(context) == {domain}, find_domains(context)
 
 
 @then("it starts on workers of both domains")
-def check_begins_everywhere(context):
+def check_starts_everywhere(context):
     assert find_domains(context) == {"a", "b"}, find_domains(context)
 
 
@@ -106,13 +106,13 @@
 
 
 @then("the gang is running")
-def check_at_work(context):
+def check_running(context):
     context.engine.plan()
     assert context.engine.find_unit("first").all_active
 
 
 @given('an urgent gang of 2 tasks has preempted work in domain "a"')
-def make_room(context):
+def preempt_work(context):
     core = context.engine.core
     core.evacuate_domains(frozenset(("b",)))
     submit(context, "an urgent gang of 2 tasks")
--- a/features/steps/engine_evictions_steps.py
+++ b/features/steps/engine_evictions_steps.py
@@ -5,12 +5,12 @@
 from firladder._internal.models.order import RunningTask
 
 PASS_S = 0.25
-"""Seconds between two passes while nothing else happens."""
+"""Time between two passes while nothing else happens."""
 
 GANG = make_step(2, 8, gang=True)
 
 
-def begin(world, name):
+def start(world, name):
     world.submit(make_job(name, GANG, at=world.now))
     world.accept(world.start_all())
     assert world.find_unit(name).all_active
@@ -37,7 +37,7 @@
 @given('workers 0 to 3, and a gang "patient" of 2 that urgent work has stopped 3 times')
 def stop_often(context):
     context.world = EngineWorld(4)
-    begin(context.world, "patient")
+    start(context.world, "patient")
     for _ in range(3):
         stop_and_restart(context.world, "patient")
 
@@ -47,14 +47,14 @@
 )
 def begin_both(context, short, long):
     world = context.world
-    begin(world, "new")
+    start(world, "new")
     world.now += long - short
     stop_and_restart(world, "patient")
     world.now += short
 
 
 @when("an urgent job of one task finds no free capacity")
-def find_no_room(context):
+def submit_without_capacity(context):
     submit_urgent(context.world)
 
 
@@ -62,18 +62,18 @@
 def begin_two(context):
     context.world = EngineWorld(4)
     for name in ("one", "two"):
-        begin(context.world, name)
+        start(context.world, name)
     context.world.now += 1.0
 
 
 @when("an urgent job of one task preempts work")
-def make_room(context):
+def preempt_work(context):
     submit_urgent(context.world)
     assert len(list_stopped(context.world, ("one", "two"))) == 1
 
 
 def wait(world, seconds):
-    """Let workers answer looks without the ends of what is being stopped."""
+    """Let workers answer polls without reporting the ends of stopped tasks."""
     until = world.now + seconds
     while world.now < until:
         world.now += PASS_S
@@ -88,7 +88,7 @@
 
 
 @when("the ends of the stopped gang are heard of after {seconds:d} s")
-def hear_late(context, seconds):
+def report_late(context, seconds):
     world = context.world
     wait(world, seconds)
     context.stopped = list_stopped(world, ("one", "two"))
@@ -99,7 +99,7 @@
 
 
 @when("the ends of the stopped gang are not heard of for {seconds:d} s")
-def hear_nothing(context, seconds):
+def report_nothing(context, seconds):
     wait(context.world, seconds)
     context.stopped = list_stopped(context.world, ("one", "two"))
 
@@ -113,7 +113,7 @@
     context.since = world.now
 
 
-def begins_within(context, seconds):
+def starts_within(context, seconds):
     world = context.world
     while world.now + PASS_S <= context.since + seconds:
         world.now += PASS_S
@@ -122,13 +122,13 @@
 
 
 @then("the stopped gang does not start within {seconds:f} s")
-def check_rests(context, seconds):
-    assert not begins_within(context, seconds)
+def check_backoff(context, seconds):
+    assert not starts_within(context, seconds)
 
 
 @then("it starts within {seconds:f} s")
-def check_begins(context, seconds):
-    assert begins_within(context, seconds)
+def check_starts(context, seconds):
+    assert starts_within(context, seconds)
 
 
 @then("one gang was stopped")
@@ -142,5 +142,5 @@
 
 
 @then("the urgent job has started")
-def check_begun(context):
+def check_started(context):
     assert context.world.find_unit("urgent").all_active
--- a/features/steps/engine_gang_start_steps.py
+++ b/features/steps/engine_gang_start_steps.py
@@ -44,7 +44,7 @@
     engine.now += seconds / 2
     for member in context.members:
         engine.report(engine.core.workers[member.worker_id])
-    # A worker that was out of reach gets a lease once its record is corrected.
+    # A worker that was unreachable gets a lease only after its record is updated.
     engine.make_durable()
     again = engine.start_all()
     assert [p.run for p in again] == [2, 2, 2], again
--- a/features/steps/engine_idle_steps.py
+++ b/features/steps/engine_idle_steps.py
@@ -13,7 +13,7 @@
     engine.submit(make_job(name, step, priority=priority, at=engine.now))
 
 
-def is_begun(context, name="last"):
+def is_started(context, name="last"):
     return context.engine.find_unit(name).state is UnitState.BUSY
 
 
@@ -21,7 +21,7 @@
 @given("{count:d} workers in {racks:d} racks, {busy:d} of them busy for {takes:d} s")
 def make_pool(context, count, racks, busy, takes):
     engine = context.engine = EngineWorld(count, per_rack=count // racks)
-    # The first worker of each rack in turn, so that no rack is wholly free.
+    # Take the workers of all racks in turn, so that no rack is entirely free.
     order = [w for n in range(count // racks) for w in range(n, count, count // racks)]
     for number in range(busy):
         step = make_step(1, 8)
@@ -35,7 +35,7 @@
 def add_wide(context, count):
     submit(context, "wide", make_step(count, 8, gang=True), takes_s=10.0)
     context.engine.plan()
-    assert not is_begun(context, "wide")
+    assert not is_started(context, "wide")
 
 
 @given("no worker of the first rack can be used")
@@ -62,12 +62,12 @@
 
 
 def plan_for(context, seconds):
-    """Plan as a leader does while nothing happens; tell whether it was begun."""
+    """Plan at a leader's interval; return whether the job was started."""
     engine = context.engine
     until = engine.now + seconds
     while engine.now < until:
         engine.plan()
-        if is_begun(context):
+        if is_started(context):
             return True
         engine.now += TICK_S
     return False
@@ -79,7 +79,7 @@
 
 
 @then("it is started within {seconds:d} s")
-def check_begun(context, seconds):
+def check_started(context, seconds):
     arrived_at = context.engine.accepted["last"].accepted_at_s
     assert plan_for(context, arrived_at + seconds - context.engine.now)
 
--- a/features/steps/engine_lost_orders_steps.py
+++ b/features/steps/engine_lost_orders_steps.py
@@ -53,7 +53,7 @@
 
 
 def wait_for_stop(engine):
-    """Go on as a leader does, which looks what is due a few times a second."""
+    """Let time pass at a leader's interval until a stop order is due."""
     while not engine.core.take_stops(engine.now):
         engine.now += TICK_S
 
@@ -90,7 +90,7 @@
 
 
 @when("it is aborted while its start still waits to be sent")
-def give_up_unsent(context):
+def abort_unsent(context):
     engine, placement = context.engine, context.placement
     engine.core.preempt(placement.unit)
     engine.core.drop_unsent(placement)
--- a/features/steps/engine_policy_steps.py
+++ b/features/steps/engine_policy_steps.py
@@ -53,7 +53,7 @@
     started = start_now(context)
     racks = {engine.core.workers[p.worker_id].rack for p in started}
     if len(racks) == 1:
-        # Both fell into one rack: end one and fill its neighbour instead.
+        # Both were placed in one rack: move one of them to the other rack.
         moved = started[1]
         engine.end(moved, "stopped")
         other = next(w for w in engine.core.workers.values() if w.rack not in racks)
@@ -274,8 +274,8 @@
     assert len({p.worker_id for p in start_now(context)}) == used
 
 
-class Clockwork:
-    """Plays an engine in steps of time; tasks end after the time they take."""
+class PolicyDriver:
+    """Drives an engine in time steps; tasks end after the time they take."""
 
     STEP_S = 0.05
 
@@ -308,13 +308,13 @@
 def stream_small(context):
     engine = context.engine
     takes = {"gang": 5.0}
-    context.clockwork = clockwork = Clockwork(engine, takes)
+    context.driver = driver = PolicyDriver(engine, takes)
     begin = engine.now
     for number in itertools.count():
         now = begin + number * 0.25
         if now > begin + 30:
             break
-        clockwork.run(now)
+        driver.run(now)
         takes[f"small-{number}"] = 4.0
         submit(context, f"small-{number}", make_step(1, 2), priority=2, takes_s=4.0)
         if number == 20:
@@ -324,14 +324,14 @@
 
 @then("the gang starts within {seconds:d} s of its arrival")
 def check_gang_begins(context, seconds):
-    began = context.clockwork.began.get("gang")
+    began = context.driver.began.get("gang")
     assert began is not None
     assert began - context.arrived < seconds, began - context.arrived
 
 
 @then("small tasks go on being started after it")
 def check_small_after(context):
-    began = context.clockwork.began
+    began = context.driver.began
     assert any(t > began["gang"] + 5 for i, t in began.items() if i != "gang")
 
 
@@ -353,7 +353,7 @@
 def burst(context):
     engine = context.engine
     takes: dict[str, float] = {}
-    context.clockwork = clockwork = Clockwork(engine, takes)
+    context.driver = driver = PolicyDriver(engine, takes)
     for number in range(16):
         takes[f"heavy-{number}"] = 8.0
         step = make_step(2, 4, gang=True, one_rack=True, checkpoints=number % 2 == 0)
@@ -363,18 +363,18 @@
         submit(context, f"small-{number}", make_step(1, 1), priority=2, takes_s=6.0)
     context.urgent = {}
     for number in range(15):
-        clockwork.run(engine.now + 1.0)
+        driver.run(engine.now + 1.0)
         name = f"urgent-{number}"
         takes[name] = 2.5
         context.urgent[name] = engine.now
         step = make_step(3, 2, gang=True, one_rack=True)
         submit(context, name, step, priority=0, takes_s=2.5)
-    clockwork.run(engine.now + 90.0)
+    driver.run(engine.now + 90.0)
 
 
 @then("9 in 10 urgent gangs start within 1 s")
 def check_urgent(context):
-    began = context.clockwork.began
+    began = context.driver.began
     waits = sorted(began[i] - at for i, at in context.urgent.items())
     assert waits[int(len(waits) * 0.9) - 1] < 1.0, waits
 
--- a/features/steps/engine_refusing_steps.py
+++ b/features/steps/engine_refusing_steps.py
@@ -3,12 +3,12 @@
 from firladder._internal.node.election import choose_delay
 from firladder._internal.node.records import choose_retry_after
 
-HELD_S = 0.7
+WAIT_S = 0.7
 
 
-@when("callers are refused {away:f} s after the store was lost")
-def refuse(context, away):
-    context.later = choose_retry_after(away)
+@when("callers are refused {outage_s:f} s after the store was lost")
+def refuse(context, outage_s):
+    context.later = choose_retry_after(outage_s)
 
 
 @then("they are told to come back after {later:d} s")
@@ -18,21 +18,21 @@
 
 @given("a store that is unavailable for {seconds:d} s")
 def lose_store(context, seconds):
-    context.away = seconds
+    context.outage_s = seconds
 
 
 @when("a caller comes at the first moment and obeys each answer, four times at most")
-def obey(context):
+def retry_as_told(context):
     now = 0.0
     for _ in range(4):
-        now += HELD_S
+        now += WAIT_S
         now += round(choose_retry_after(now))
     context.last = now
 
 
 @then("its last attempt reaches a store that answers")
 def check_last(context):
-    assert context.last > context.away, context.last
+    assert context.last > context.outage_s, context.last
 
 
 @then(
--- a/features/steps/engine_runs_steps.py
+++ b/features/steps/engine_runs_steps.py
@@ -91,11 +91,11 @@
     engine = context.engine
     placement = engine.find_placement(name)
     assert placement in engine.core.take_stops(engine.now)
-    check_room_held(context, name)
+    check_capacity_held(context, name)
 
 
 @then('"{name}" holds its capacity')
-def check_room_held(context, name):
+def check_capacity_held(context, name):
     engine = context.engine
     worker = engine.core.workers[engine.find_placement(name).worker_id]
     assert worker.free.accelerators == 0, worker.free
@@ -103,7 +103,7 @@
 
 
 @when('a poll sent before the stop was answered does not list "{name}"')
-def look_early(context, name):
+def poll_early(context, name):
     engine = context.engine
     worker = engine.core.workers[context.placement.worker_id]
     sent_at = engine.now
@@ -112,7 +112,7 @@
 
 
 @when('the stop of "{name}" is answered and a later poll does not list it')
-def look_late(context, name):
+def poll_late(context, name):
     engine = context.engine
     engine.core.handle_stop_answer(context.placement, engine.now, engine.now)
     engine.now += 0.1
@@ -126,7 +126,7 @@
 
 
 @when("its worker is unreachable for {seconds:d} seconds")
-def lose_reach(context, seconds):
+def make_unreachable(context, seconds):
     engine = context.engine
     began = getattr(context, "began", None)
     if began is None:
@@ -145,7 +145,7 @@
 
 
 @when("the successor finds the worker unreachable for {seconds:d} seconds")
-def lose_reach_again(context, seconds):
+def make_unreachable_again(context, seconds):
     engine = context.engine
     placement = engine.find_placement("a")
     engine.core.mark_unreachable(engine.core.workers[placement.worker_id], engine.now)
@@ -233,7 +233,7 @@
 
 
 @when("its worker's entry expires and comes back, and the end is listed again")
-def lapse_entry(context):
+def expire_entry(context):
     engine, placement = context.engine, context.placement
     worker = engine.core.workers[placement.worker_id]
     engine.core.unregister_worker(worker.worker_id)
@@ -289,7 +289,7 @@
 
 
 @when('a worker lists a run of "{name}" that the engine does not know')
-def list_stray(context, name):
+def report_orphan(context, name):
     engine = context.engine
     engine.accept(context.started)
     used = engine.find_placement(name).worker_id
@@ -299,13 +299,13 @@
 
 
 @then("that run is ordered to stop")
-def check_stray_stopped(context):
+def check_orphan_stopped(context):
     stops = context.engine.core.take_stops(context.engine.now)
     assert [(p.worker_id, p.run) for p in stops] == [(context.other.worker_id, 7)]
 
 
 @then("nothing else is placed on that worker")
-def check_stray_room(context):
+def check_orphan_capacity(context):
     context.engine.submit(make_job("b", make_step(accelerators=1)))
     assert context.engine.plan() == 0
 
@@ -352,8 +352,8 @@
 @when(
     "{events:d} random events reach an engine with jobs that always fail, seed {seed:d}"
 )
-def play_hopeless(context, events, seed):
-    context.chaos = Chaos(random.Random(seed), hopeless=True)
+def play_always_failing(context, events, seed):
+    context.chaos = Chaos(random.Random(seed), always_failing=True)
     context.chaos.play(events)
 
 
@@ -361,8 +361,8 @@
 def play_histories(context, examples, events):
     context.histories = []
 
-    # Fixed draws give the same verdict in every run. Cutting a failing history down
-    # takes minutes: add `Phase.shrink` when there is one to read.
+    # Fixed draws give the same result in every run. Shrinking a failing history takes
+    # minutes: add `Phase.shrink` to debug one.
     @settings(
         max_examples=examples,
         deadline=None,
--- a/features/steps/engine_speeds_steps.py
+++ b/features/steps/engine_speeds_steps.py
@@ -8,13 +8,13 @@
 from features.support.engine_world import EngineWorld, make_job, make_step
 from firladder._internal.models.order import EndedTask, RunningTask
 
-LOOK_S = 0.5
+POLL_INTERVAL_S = 0.5
 SPREAD = 0.15
-DECLARED_OFF = 0.2
+DECLARED_ERROR = 0.2
 
 
 class PacedWorld:
-    """Workers of different speeds under a steady load, looked at twice a second."""
+    """Workers of different speeds under a steady load, polled twice a second."""
 
     def __init__(self, factors):
         self.rng = random.Random(5)
@@ -25,17 +25,17 @@
         self.ends = {w: itertools.count(1) for w in self.factors}
 
     def run(self, seconds, *, runs_s=4.0, width=6, declared=None):
-        """Keep the workers busy; ``declared`` draws the declared time's factor."""
-        declared = declared or (lambda: 1 + self.rng.uniform(-1, 1) * DECLARED_OFF)
+        """Keep the workers busy; ``declared`` draws declared time over run time."""
+        declared = declared or (lambda: 1 + self.rng.uniform(-1, 1) * DECLARED_ERROR)
         until = self.engine.now + seconds
         while self.engine.now < until:
             if len(self.running) < 2 * len(self.factors):
                 self.submit(width, runs_s, declared())
             self.step()
 
-    def submit(self, width, runs_s, off):
+    def submit(self, width, runs_s, declared_factor):
         step = make_step(width, 2, most_per_worker=1)
-        step = dataclasses.replace(step, estimate_s=runs_s * off)
+        step = dataclasses.replace(step, estimate_s=runs_s * declared_factor)
         name = f"job-{next(self.names)}"
         self.runs_s = runs_s
         self.engine.submit(make_job(name, step, priority=1, at=self.engine.now))
@@ -46,17 +46,17 @@
             engine.accept([placement])
             takes = self.runs_s * (1 + self.rng.uniform(-1, 1) * SPREAD)
             self.running[placement.key] = [placement, 0.0, takes]
-        engine.now += LOOK_S
+        engine.now += POLL_INTERVAL_S
         for worker_id in self.factors:
-            self.look(worker_id)
+            self.poll(worker_id)
 
-    def look(self, worker_id):
+    def poll(self, worker_id):
         rows, ended = [], []
         for key, row in list(self.running.items()):
             placement, done_s, takes_s = row
             if placement.worker_id != worker_id:
                 continue
-            row[1] = done_s = done_s + LOOK_S / self.factors[worker_id]
+            row[1] = done_s = done_s + POLL_INTERVAL_S / self.factors[worker_id]
             if done_s >= takes_s:
                 del self.running[key]
                 number = next(self.ends[worker_id])
@@ -70,7 +70,7 @@
         self.engine.report(worker, rows, ended)
 
     def finish(self):
-        """Let all that runs end."""
+        """Let all running tasks end."""
         while self.running:
             self.step()
 
@@ -137,7 +137,7 @@
 
 
 @then("worker {number:d} is taken to be off by less than a fourth")
-def check_forgiven(context, number):
+def check_normal(context, number):
     world = context.world
     found = [world.find(w) for w in world.factors]
     usual = math.exp(sum(map(math.log, found)) / len(found))
--- a/features/steps/engine_stalls_steps.py
+++ b/features/steps/engine_stalls_steps.py
@@ -5,11 +5,11 @@
 from firladder._internal.engine.state import Phase, UnitState
 from firladder._internal.models.order import RunningTask
 
-LOOK_S = 0.5
-"""Seconds between two looks at all workers."""
+POLL_INTERVAL_S = 0.5
+"""Time between two polls of all workers."""
 
 
-def begin(context, name, count, *, checkpoints=False, accelerators=8):
+def start(context, name, count, *, checkpoints=False, accelerators=8):
     world = context.world
     step = make_step(
         count, accelerators, gang=True, checkpoints=checkpoints, most_per_worker=1
@@ -21,8 +21,8 @@
     return {p.worker_id for p in placements}
 
 
-def look(context, percents):
-    """Let each worker report its tasks, at what ``percents`` says of each unit."""
+def poll(context, percents):
+    """Let each worker report its tasks, with the progress in ``percents`` by job."""
     world = context.world
     for worker in list(world.core.workers.values()):
         rows = [
@@ -34,12 +34,12 @@
     world.core.abort_stalled_runs(world.now)
 
 
-def go_on(context, seconds, percents):
+def poll_for(context, seconds, percents):
     world = context.world
     until = world.now + seconds
     while world.now < until:
-        world.now = min(until, world.now + LOOK_S)
-        look(context, percents(world.now))
+        world.now = min(until, world.now + POLL_INTERVAL_S)
+        poll(context, percents(world.now))
 
 
 @given(
@@ -52,7 +52,7 @@
     elif len(context.world.entries) <= last:
         add_workers(context, last)
     context.world.now = context.began + int(at)
-    chosen = begin(context, name, count)
+    chosen = start(context, name, count)
     assert chosen == {f"w{n}" for n in range(first, last + 1)}, chosen
 
 
@@ -70,12 +70,12 @@
     context.world = EngineWorld(3)
     context.began = context.world.now
     saves = {"which saves": True, "which saves nothing": False}[saving]
-    begin(context, name, 3, checkpoints=saves, accelerators=4)
+    start(context, name, 3, checkpoints=saves, accelerators=4)
 
 
 @given('a gang "{name}" of 3 running beside it')
 def begin_beside(context, name):
-    begin(context, name, 3, accelerators=4)
+    start(context, name, 3, accelerators=4)
 
 
 @when("its members are at {a:d}, {b:d} and {c:d} per cent after {after:d} s")
@@ -87,11 +87,11 @@
         row = [int(p * share) for p in context.percents]
         return {"g": row, "h": row}
 
-    go_on(context, after, grow)
+    poll_for(context, after, grow)
 
 
 @when("the slow one goes on to {percent:d} per cent within {seconds:d} s")
-def creep(context, percent, seconds):
+def progress_slowly(context, percent, seconds):
     a, b, c = context.percents
     since = context.world.now
 
@@ -99,12 +99,12 @@
         more = (percent - c) * (now - since) / seconds
         return {"g": (a, b, int(c + more))}
 
-    go_on(context, seconds, grow)
+    poll_for(context, seconds, grow)
 
 
 @when("nothing is heard of any progress for {seconds:d} s")
-def stand(context, seconds):
-    go_on(context, seconds, lambda _: {"g": context.percents, "h": context.percents})
+def stall(context, seconds):
+    poll_for(context, seconds, lambda _: {"g": context.percents, "h": context.percents})
 
 
 @then('the run of "{name}" goes on')
@@ -115,12 +115,12 @@
 
 
 @then('the run of "{name}" is aborted')
-def check_given_up(context, name):
+def check_aborted(context, name):
     assert not context.world.find_unit(name).all_active
 
 
 @then("no worker is quarantined")
-def check_sound(context):
+def check_not_quarantined(context):
     workers = context.world.core.workers.values()
     assert not any(w.failed_jobs or w.quarantined_until for w in workers)
 
@@ -138,14 +138,14 @@
     world = context.world
     world.now = context.began + at
     world.succeed()
-    look(context, {name: (percent,) * 3})
+    poll(context, {name: (percent,) * 3})
 
 
 @when("an urgent job of one task finds no free capacity after {at:d} s")
-def find_no_room(context, at):
+def submit_without_capacity(context, at):
     world = context.world
     world.now = context.began + at
-    look(context, {"old": (99, 99, 99), "young": (20,) * 6})
+    poll(context, {"old": (99, 99, 99), "young": (20,) * 6})
     submit_urgent(world)
 
 
@@ -181,7 +181,7 @@
     'another leader has heard of "{gang}" from worker 0 at {one:d} per cent, '
     'of "{single}" at {other:d}'
 )
-def hear_some(context, gang, one, single, other):
+def report_some(context, gang, one, single, other):
     world = context.world
     world.now = context.began + 4
     world.succeed()
@@ -194,12 +194,12 @@
 
 
 @when("an urgent job of one task finds no free capacity there")
-def find_no_room_there(context):
+def submit_without_capacity_there(context):
     submit_urgent(context.world)
 
 
 @then('"{stopped}" is stopped and "{kept}" goes on as far as was heard')
-def check_heard(context, stopped, kept):
+def check_reported(context, stopped, kept):
     world = context.world
     phases = {
         name: {p.phase for p in world.find_unit(name).placements.values()}
--- a/features/support/engine_chaos.py
+++ b/features/support/engine_chaos.py
@@ -1,10 +1,10 @@
-"""Random events against an engine and simulated workers, with promises checked."""
+"""Random events against an engine and simulated workers, with invariants checked."""
 
 import dataclasses
 import random
 
 from features.support.engine_world import (
-    HOLD_S,
+    LEASE_S,
     EngineWorld,
     SimulatedWorker,
     draw_job,
@@ -17,12 +17,12 @@
     WorkerReplaced,
 )
 
-MOST_LATE_S = 12.0
+MAX_DELAY_S = 12.0
 
 
 @dataclasses.dataclass
-class Late:
-    """An order without an answer that is carried out later."""
+class DelayedOrder:
+    """An unanswered order that the worker carries out later."""
 
     due: float
     placement: object
@@ -33,26 +33,26 @@
 
 
 class Chaos:
-    """Plays random events; ``problems`` lists the promises that were broken."""
+    """Plays random events; ``problems`` lists the violated invariants."""
 
-    def __init__(self, rng: random.Random, *, hopeless: bool = False) -> None:
-        """Prepare; with ``hopeless`` every other job fails whenever it runs."""
+    def __init__(self, rng: random.Random, *, always_failing: bool = False) -> None:
+        """Prepare; with ``always_failing``, every other job fails in each run."""
         self.rng = rng
-        self.hopeless = hopeless
+        self.always_failing = always_failing
         self.world = EngineWorld(0)
         self.world.entries = []
         self.sims: dict[str, SimulatedWorker] = {}
-        self.cut: set[str] = set()
-        self.late: list[Late] = []
+        self.partitioned: set[str] = set()
+        self.delayed: list[DelayedOrder] = []
         self.done: set = set()
-        self.again: set = set()
-        self.noted: set = set()
+        self.restarted: set = set()
+        self.acknowledged: set = set()
         self.runs: dict = {}
         self.gang_runs: dict = {}
         self.failed: dict = {}
         self.token = 1
         self.problems: list[str] = []
-        self.numbers = 0
+        self.submitted = 0
         self.finished = 0
         fresh = EngineWorld(6, per_rack=3)
         self.world = fresh
@@ -64,10 +64,10 @@
             (self.submit, 3),
             (self.advance, 8),
             (self.plan, 8),
-            (self.look, 14),
+            (self.poll, 14),
             (self.finish, 5),
-            (self.cut_worker, 0.4),
-            (self.join_worker, 0.5),
+            (self.partition_worker, 0.4),
+            (self.reconnect_worker, 0.5),
             (self.cancel, 0.5),
             (self.change_leader, 0.3),
             (self.reincarnate, 0.15),
@@ -75,14 +75,14 @@
         actions, weights = zip(*moves, strict=True)
         for _ in range(events):
             self.rng.choices(actions, weights)[0]()
-            self.apply_late()
-            self.check_room()
+            self.apply_delayed()
+            self.check_capacity()
 
     def submit(self) -> None:
         if len([j for j in self.world.core.jobs.values() if not j.terminal]) > 12:
             return
-        self.numbers += 1
-        self.world.submit(draw_job(self.rng, self.numbers, self.world.now))
+        self.submitted += 1
+        self.world.submit(draw_job(self.rng, self.submitted, self.world.now))
 
     def advance(self) -> None:
         self.world.now += self.rng.choice([0.02, 0.1, 0.5, 1.0])
@@ -109,15 +109,15 @@
             )
             return
         order = world.core.describe_start(placement)
-        until = world.now + HOLD_S
-        grant = leases.record_grant_sent(worker, now=world.now, lease_s=HOLD_S)
+        until = world.now + LEASE_S
+        grant = leases.record_grant_sent(worker, now=world.now, lease_s=LEASE_S)
         answer: object = self.deliver(placement, order, until, stop=False)
         while isinstance(answer, SentUnanswered) and self.rng.random() < 0.7:
             placement.may_start_late = True
             answer = self.deliver(placement, order, until, stop=False)
         if isinstance(answer, float | OrderRejected):
             leases.record_grant_answered(
-                worker, grant, sent_at=world.now, now=world.now, lease_s=HOLD_S
+                worker, grant, sent_at=world.now, now=world.now, lease_s=LEASE_S
             )
         elif isinstance(answer, NotSent) and not placement.may_start_late:
             leases.record_grant_dropped(worker, grant)
@@ -134,13 +134,15 @@
         sim = self.sims.get(name)
         if sim is None:
             return WorkerReplaced(reason="replaced")
-        if name in self.cut:
+        if name in self.partitioned:
             if self.rng.random() < 0.5:
                 return NotSent(reason="cut")
             return SentUnanswered(reason="cut")
         if self.rng.random() < 0.08:
-            due = self.world.now + self.rng.uniform(0, MOST_LATE_S)
-            self.late.append(Late(due, placement, order, self.token, until, stop))
+            due = self.world.now + self.rng.uniform(0, MAX_DELAY_S)
+            self.delayed.append(
+                DelayedOrder(due, placement, order, self.token, until, stop)
+            )
             return SentUnanswered(reason="late")
         answer = self.carry_out(sim, placement, order, self.token, until, stop)
         if self.rng.random() < 0.05:
@@ -161,8 +163,8 @@
 
     def check_start(self, placement, token) -> None:
         task = placement.task
-        self.again |= {end for end in self.done if end[0] == task}
-        for end in self.noted & self.again:
+        self.restarted |= {end for end in self.done if end[0] == task}
+        for end in self.acknowledged & self.restarted:
             self.problems.append(f"started after done: {end}")
         holders = [
             name
@@ -179,17 +181,17 @@
         self.check_attempts(placement)
 
     def check_attempts(self, placement) -> None:
-        """Compare a start with the failures that workers were told to forget."""
+        """Compare a start with the failures that were acknowledged to workers."""
         failed = self.failed.get(placement.task, set())
         job = self.world.accepted[placement.task.job_id]
         if len(failed) >= job.max_attempts:
             self.problems.append(f"attempts used up: {placement.task} {failed}")
 
     def check_gang(self, placement) -> None:
-        """Compare a member's run with what other members of its gang were told.
+        """Compare a member's run with the runs of the other members of its gang.
 
-        Members of two runs never find each other: each waits for mates that do not
-        come, and the gang's room is lost until the wait ends.
+        Members of different runs do not find each other: each waits for members that
+        never come, and the gang's capacity is wasted until they time out.
         """
         unit, task = placement.unit, placement.task
         if unit is None or not unit.step.gang:
@@ -200,63 +202,70 @@
             self.problems.append(f"a gang's member of run {placement.run}: {task}")
         self.gang_runs[gang] = newest
 
-    def apply_late(self) -> None:
-        due = [late for late in self.late if late.due <= self.world.now]
-        for late in due:
-            self.late.remove(late)
-            sim = self.sims.get(late.placement.worker_id)
+    def apply_delayed(self) -> None:
+        due = [delayed for delayed in self.delayed if delayed.due <= self.world.now]
+        for delayed in due:
+            self.delayed.remove(delayed)
+            sim = self.sims.get(delayed.placement.worker_id)
             if sim is not None:
                 self.carry_out(
-                    sim, late.placement, late.order, late.token, late.until, late.stop
+                    sim,
+                    delayed.placement,
+                    delayed.order,
+                    delayed.token,
+                    delayed.until,
+                    delayed.stop,
                 )
 
-    def look(self) -> None:
+    def poll(self) -> None:
         world = self.world
         for worker in list(world.core.workers.values()):
             if self.rng.random() < 0.4:
-                self.look_at(worker)
+                self.poll_worker(worker)
 
-    def look_at(self, worker) -> None:
+    def poll_worker(self, worker) -> None:
         world = self.world
         sim = self.sims.get(worker.worker_id)
         if sim is None:
             world.core.lose_worker(worker.worker_id, "replaced")
             return
-        if worker.worker_id in self.cut:
+        if worker.worker_id in self.partitioned:
             world.core.mark_unreachable(worker, world.now)
             return
         until = None
         if worker.may_send_lease and leases.needs_renewal(
-            worker, now=world.now, lease_s=HOLD_S
+            worker, now=world.now, lease_s=LEASE_S
         ):
-            until = world.now + HOLD_S
-            grant = leases.record_grant_sent(worker, now=world.now, lease_s=HOLD_S)
+            until = world.now + LEASE_S
+            grant = leases.record_grant_sent(worker, now=world.now, lease_s=LEASE_S)
             leases.record_grant_answered(
-                worker, grant, sent_at=world.now, now=world.now, lease_s=HOLD_S
+                worker, grant, sent_at=world.now, now=world.now, lease_s=LEASE_S
             )
-        seen = worker.find_last_durable_end()
-        report = sim.look(self.token, seen, until, world.now)
+        acknowledged_up_to = worker.find_last_durable_end()
+        report = sim.poll(self.token, acknowledged_up_to, until, world.now)
         sent_at = world.now
         world.now += 0.001
         if report is None:
             self.problems.append("the leader was fenced off")
             return
-        self.check_noted(sim)
-        worker.drop_acknowledged_ends(seen)
+        self.check_acknowledged(sim)
+        worker.drop_acknowledged_ends(acknowledged_up_to)
         world.core.handle_report(worker, report, sent_at=sent_at, now=world.now)
 
-    def check_noted(self, sim) -> None:
-        """Compare the ends that were acknowledged with what was started again.
+    def check_acknowledged(self, sim) -> None:
+        """Compare the acknowledged ends with the tasks that were started again.
 
-        An end counts unless the worker's lease ended before it was acknowledged:
-        the leader may by then have started the task elsewhere, and rightly so.
+        An end does not count if the worker's lease expired before the end was
+        acknowledged: the leader may then start the task elsewhere.
         """
-        self.noted |= {(e.task, e.run) for e in sim.noted if e.ending == "done"}
-        for end in sim.noted:
+        self.acknowledged |= {
+            (e.task, e.run) for e in sim.acknowledged if e.ending == "done"
+        }
+        for end in sim.acknowledged:
             if end.ending == "failed":
                 self.failed.setdefault(end.task, set()).add(end.run)
-        sim.noted.clear()
-        for task, run in self.noted & self.again:
+        sim.acknowledged.clear()
+        for task, run in self.acknowledged & self.restarted:
             self.problems.append(f"started after done: {task} {run}")
 
     def finish(self) -> None:
@@ -269,7 +278,7 @@
             return
         task, run = self.rng.choice(list(sim.running))
         how = self.rng.choices(["done", "failed"], [6, 1])[0]
-        if self.hopeless and int(task.job_id, 16) % 2:
+        if self.always_failing and int(task.job_id, 16) % 2:
             how = "failed"
         for other in self.sims.values():
             for key in list(other.running):
@@ -286,13 +295,13 @@
             unit is not None and unit.step.gang and placement.task.job_id == task.job_id
         )
 
-    def cut_worker(self) -> None:
-        if len(self.cut) < 2:
-            self.cut.add(self.rng.choice(list(self.sims)))
+    def partition_worker(self) -> None:
+        if len(self.partitioned) < 2:
+            self.partitioned.add(self.rng.choice(list(self.sims)))
 
-    def join_worker(self) -> None:
-        if self.cut:
-            self.cut.discard(self.rng.choice(sorted(self.cut)))
+    def reconnect_worker(self) -> None:
+        if self.partitioned:
+            self.partitioned.discard(self.rng.choice(sorted(self.partitioned)))
 
     def cancel(self) -> None:
         open_jobs = [j for j in self.world.core.jobs.values() if not j.terminal]
@@ -314,11 +323,11 @@
         world.entries.remove(old)
         world.entries.append(entry)
         del self.sims[old.worker_id]
-        self.cut.discard(old.worker_id)
+        self.partitioned.discard(old.worker_id)
         self.sims[entry.worker_id] = SimulatedWorker(entry)
         world.core.register_worker(entry, now=world.now)
 
-    def check_room(self) -> None:
+    def check_capacity(self) -> None:
         for sim in self.sims.values():
             sim.expire(self.world.now)
             if not sim.entry.capacity.covers(sim.used()):
--- a/features/support/engine_world.py
+++ b/features/support/engine_world.py
@@ -1,4 +1,4 @@
-"""An engine without a network: its workers and its store are plain objects."""
+"""An engine without a network; its workers and its store are plain objects."""
 
 import itertools
 import random
@@ -18,7 +18,7 @@
     Workload,
 )
 
-HOLD_S = 10.0
+LEASE_S = 10.0
 QUEUES = tuple(
     Queue(f"q{priority}", "h", f"/q{priority}/", "pool", priority=priority)
     for priority in range(3)
@@ -60,7 +60,7 @@
 
 
 class EngineWorld:
-    """Drives one engine by hand; ``now`` is its clock."""
+    """Drives one engine step by step; ``now`` is its clock."""
 
     def __init__(self, workers: int, *, per_rack: int = 8) -> None:
         self.now = 100.0
@@ -74,7 +74,7 @@
             self.claim(self.core.register_worker(entry, now=self.now))
 
     def make_core(self) -> Core:
-        core = Core(lease_s=HOLD_S)
+        core = Core(lease_s=LEASE_S)
         core.configuration = QueueConfiguration(1, QUEUES)
         return core
 
@@ -126,7 +126,7 @@
         self.report(worker, others, [end])
 
     def succeed(self) -> None:
-        """Replace the engine by a successor that knows only what is stored."""
+        """Replace the engine by a new leader's, which knows only what is stored."""
         self.core = self.make_core()
         self.planner = Planner(self.core, reclaim_s=2.7, restart_s=0.3)
         for entry in self.entries:
@@ -138,7 +138,7 @@
 
 
 class SimulatedWorker:
-    """A worker that guards nothing, keeps leases, tokens and run numbers."""
+    """A worker that checks leases, tokens and run numbers, but not its capacity."""
 
     def __init__(self, entry: WorkerEntry) -> None:
         self.entry = entry
@@ -148,8 +148,8 @@
         self.highest: dict = {}
         self.lease_until = 0.0
         self.count = itertools.count(1)
-        self.void: set[int] = set()
-        self.noted: list[EndedTask] = []
+        self.unproven: set[int] = set()
+        self.acknowledged: list[EndedTask] = []
 
     def start(self, order, token, until, now):
         self.expire(now)
@@ -161,7 +161,7 @@
             return "ok"
         if order.run <= self.highest.get(order.task, 0):
             return "superseded"
-        self.lease_until = max(self.lease_until, min(until, now + HOLD_S))
+        self.lease_until = max(self.lease_until, min(until, now + LEASE_S))
         self.running[key] = order
         return "started"
 
@@ -182,25 +182,27 @@
         self.ended.append(EndedTask(next(self.count), task, run, how, ""))
 
     def expire(self, now):
-        """End all for want of renewal; ends listed till then prove nothing more."""
+        """End all tasks if the lease has expired; earlier ends prove nothing then."""
         if now > self.lease_until:
-            self.void |= {e.number for e in self.ended}
+            self.unproven |= {e.number for e in self.ended}
             for key in list(self.running):
                 self.end(key, "lapsed")
 
-    def look(self, token, seen, until, now):
+    def poll(self, token, acknowledged_up_to, until, now):
         self.expire(now)
         if token < self.token:
             return None
         self.token = token
         if until is not None:
-            self.lease_until = max(self.lease_until, min(until, now + HOLD_S))
-        self.noted += [
-            e for e in self.ended if e.number <= seen and e.number not in self.void
+            self.lease_until = max(self.lease_until, min(until, now + LEASE_S))
+        self.acknowledged += [
+            e
+            for e in self.ended
+            if e.number <= acknowledged_up_to and e.number not in self.unproven
         ]
-        self.ended = [e for e in self.ended if e.number > seen]
-        rows = tuple(RunningTask(t, r, "", 50) for t, r in self.running)
-        return WorkerReport(now, rows, tuple(self.ended))
+        self.ended = [e for e in self.ended if e.number > acknowledged_up_to]
+        running_tasks = tuple(RunningTask(t, r, "", 50) for t, r in self.running)
+        return WorkerReport(now, running_tasks, tuple(self.ended))
 
     def used(self) -> Resources:
         total = Resources()
