--- a/features/engine_policy.feature
+++ b/features/engine_policy.feature
@@ -1,8 +1,8 @@
-Feature: Who waits, who makes way, and where work goes
+Feature: Waiting, preemption and placement
 
   Scenario: An urgent gang waits for its rack rather than spread at once
-    A burst of urgent gangs fills one rack. Spread over two, a gang takes three times
-    as long, is late itself and keeps its accelerators from the next ones.
+    A burst of urgent gangs fills one rack. Spread over two racks, a gang takes three
+    times as long, is late itself, and holds accelerators that the next gangs need.
     Given an engine with 2 racks of 2 workers
     And urgent gangs of other organisations hold 1 worker of each rack
     When an urgent gang of 2 whole workers that wants one rack arrives
@@ -11,7 +11,7 @@
     Then it is planned on the workers of that rack
 
   Scenario: A guaranteed gang takes any racks before its time is over
-    An organisation's guarantee must begin within seconds, even at a slower pace.
+    Guaranteed work must start within seconds, even if it then runs more slowly.
     Given an engine with 2 racks of 2 workers
     And organisation "owner" is guaranteed 16 accelerators
     And urgent gangs of other organisations hold 1 worker of each rack
@@ -26,8 +26,8 @@
     Then it is planned on workers of both racks
 
   Scenario: Urgent work that can be in time goes before urgent work that is late
-    A burst of urgent jobs is larger than the room. In the order of arrival each
-    would wait behind those that are late already, and all would be late.
+    A burst of urgent jobs exceeds the capacity. In order of arrival, each would wait
+    behind jobs that are already late, and all would be late.
     Given an engine with 1 rack of 1 worker
     And urgent whole-worker jobs arrived 6, 5 and 0 seconds ago
     When a pass is made
@@ -42,25 +42,25 @@
     Then the job that arrived 60 seconds ago is planned
 
   Scenario: Urgent work stops the work that loses least
-    Young work and work that saves its progress lose little by a stop; work that is
-    nearly done, or a wide gang, loses much.
+    Young work and work with checkpoints lose little when stopped; work that is almost
+    done, or a wide gang, loses much.
     Given an engine with 1 rack of 3 workers
     And whole-worker jobs are running: "old" for 8 s, "saving" for 8 s, "young" for 3 s
     When an urgent job of 1 whole worker arrives
     Then only "saving" is stopped for it
 
   Scenario: A small urgent job does not break a large gang beyond its guarantee
-    A gang over many workers has run for some seconds. Breaking it for one small job
-    throws away more work than the job is worth, and both end late.
+    A gang over many workers has run for some seconds. Preempting it for one small job
+    loses more work than the job is worth, and both end late.
     Given an engine with 1 rack of 8 workers
     And a gang of 8 whole workers has been running for 8 s
     When an urgent job of 1 task with 1 accelerator arrives
     Then nothing is stopped for it
 
   Scenario: A guarantee is reclaimed whatever it costs
-    Room that costs less often comes up within a second, and the work that a large
-    gang would lose is worth many urgent jobs. The guarantee's own time does not wait:
-    an owner whose work had not begun by then would have been promised too much.
+    Cheaper capacity often becomes free within a second, and the work that a large gang
+    would lose is worth many urgent jobs. But guaranteed work must still start within
+    the guaranteed time.
     Given an engine with 1 rack of 8 workers
     And organisation "owner" is guaranteed 16 accelerators
     And a gang of 8 whole workers has been running for 8 s
@@ -82,8 +82,8 @@
     Then only "saving" is stopped for it
 
   Scenario: A stream of small tasks does not starve a large gang
-    Small tasks come all the time and each fits into what the last one left. The
-    gang waits for whole workers, which are never free at once.
+    Small tasks arrive all the time, and each takes the capacity that an earlier one
+    frees. The gang waits for whole workers, which are never free at the same time.
     Given an engine with 1 rack of 4 workers
     When small tasks of 4 s arrive every 0.25 s, and a gang of 4 whole workers at 5 s
     Then the gang starts within 15 s of its arrival
@@ -95,8 +95,8 @@
     Then they are placed on 2 workers
 
   Scenario Outline: Work moves off a worker that leaves before it can be done
-    Workers are replaced in turn. What still runs on one when it goes is lost, and
-    that is known only when its lease has ended: a caller waits ten seconds more.
+    Workers are replaced one by one. Work that still runs on a worker when it leaves is
+    lost, and counts as lost only when its lease has expired, ten seconds later.
     Given an engine with 1 rack of 2 workers
     And a job that <saves> its progress and takes 10 s has worked for 2 s
     When its worker says that it leaves in <leaves> s
@@ -110,8 +110,8 @@
       | loses | 7.5    | not moved |
 
   Scenario Outline: Workers that fail everything get no work, but a pool is never shut
-    Some workers fail all that they start: jobs sent there use up their attempts. When
-    most workers fail, the jobs are at fault, and holding all back would serve nobody.
+    Jobs that are sent to a faulty worker use up their attempts. When most workers fail
+    jobs, the jobs are at fault, and quarantining all workers would stop all work.
     Given an engine with 1 rack of 6 workers
     When 2 jobs have failed on each of <bad> workers
     Then a new job of each worker's size is placed on <used> workers
@@ -122,17 +122,16 @@
       | 6   | 6    |
 
   Scenario: A burst over a full fleet with mixed sizes serves urgent work in time
-    Twice the room is asked for at once, by urgent, heavy and small jobs, while one
-    worker is slow to free itself.
+    Urgent, heavy and small jobs ask for twice the capacity at once.
     Given an engine with 3 racks of 4 workers
     When heavy and small jobs for twice the capacity arrive, and an urgent gang each second
     Then 9 in 10 urgent gangs start within 1 s
     And all jobs end at last
 
   Scenario: Work that saves its progress loses no more by a stop than the settings say
-    A stop saves what a task did, however long ago it had saved before. A leader that
-    reckons with a fixed loss takes saved work for dearer than it is where workers
-    restore fast, and stops young work in its place, which is lost.
+    A task with checkpoints saves one when it is stopped, however old the last one is.
+    A leader that assumes a fixed loss overestimates the cost where workers restore
+    fast, and preempts young work instead, which is lost.
     Given an engine with 1 rack of 2 workers
     And whole-worker jobs are running: "saving" for 8 s, "young" for 0.4 s
     When an urgent job of 1 whole worker arrives
--- a/features/engine_runs.feature
+++ b/features/engine_runs.feature
@@ -1,9 +1,9 @@
-Feature: A task runs once, whatever becomes of the orders for it
+Feature: A task runs once, even if its orders are lost or late
 
   Scenario: Nothing is sent before it is durable
-    A leader that dies right after sending a start would leave a run behind that
-    its successor knows nothing of. The successor would start the task again, and
-    a coach would get two conflicting plans.
+    A leader that dies right after sending a start order would leave a run that its
+    successor does not know. The successor would start the task again, and the caller
+    would get two conflicting results.
     Given an engine with 2 workers of 8 accelerators
     When job "a" of 1 task with 8 accelerators is submitted and planned
     Then no start is sent
@@ -11,8 +11,8 @@
     Then 1 start is sent
 
   Scenario: A start without an answer is stopped and waited for before the next
-    The answer to a start is lost, or the worker carries it out seconds later.
-    Started elsewhere at once, the task would run twice at the same time.
+    The answer to a start order is lost, or the worker carries it out seconds later.
+    If the task were started elsewhere at once, it would run twice at the same time.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is started
     When the start of "a" gets no answer
@@ -23,8 +23,8 @@
     Then "a" is planned again under run 2
 
   Scenario: A run that cannot be reached is not started again before its lease ends
-    A worker is cut off and runs on. Until the longest lease that may have reached
-    it has ended, the task may still be at work there.
+    A worker is partitioned from the leader, and its tasks continue. Until the longest
+    lease that may have reached it has expired, the task may still run there.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is running
     When its worker is unreachable for 9 seconds
@@ -32,16 +32,16 @@
     When its worker is unreachable for 13 seconds
     Then "a" waits for its next run
 
-  Scenario: A worker's next life proves that the runs of the last one are over
+  Scenario: A worker's new incarnation proves that the runs of the last one are over
     A worker crashes and another incarnation answers at its address.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is running
     When another incarnation answers for its worker
     Then "a" waits for its next run
 
-  Scenario: A gang of which one member is not taken ends whole and starts whole
-    One worker rejects its part of a gang. The other members would wait for it,
-    hold their accelerators, and end alone.
+  Scenario: A gang of which one member is rejected ends and starts as a whole
+    One worker rejects its member of a gang. The other members would otherwise wait for
+    it, hold their accelerators, and end by themselves.
     Given an engine with 2 workers of 8 accelerators
     And job "g" of a gang of 2 tasks with 8 accelerators is started
     When one member of "g" is rejected and the other accepted
@@ -50,8 +50,8 @@
     Then "g" is planned again under run 2
 
   Scenario: An end is acknowledged and shown only when it is durable
-    A leader acknowledges the end of a run and dies before it is stored. The worker
-    has forgotten the end; the successor would run the finished job once more.
+    If a leader acknowledged the end of a run and died before storing it, the worker
+    would have dropped the end, and the successor would run the finished job again.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is running
     When the end "done" of "a" is listed
@@ -59,11 +59,11 @@
     When what has changed becomes durable
     Then "a" is shown as "completed" and its end is acknowledged
 
-  Scenario: An end waits for its record also when its worker's entry lapses meanwhile
-    The store is away and the entries of workers lapse with it; an end that was read
-    is not stored yet. The worker registers again and lists the end again: taken for
-    one of no run, it was acknowledged at once, and a successor, whose records did
-    not have it, ran the finished job once more.
+  Scenario: An end waits for its record also when its worker's entry expires meanwhile
+    In a store outage the entries of workers expire while an end that was read is not
+    stored yet. The worker registers again and lists the end again. It matched no run
+    any more and was acknowledged at once; a successor, whose records did not have it,
+    ran the finished job again.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is running
     When the end "done" of "a" is listed
@@ -72,9 +72,9 @@
     When what has changed becomes durable
     Then "a" is shown as "completed" and its end is acknowledged
 
-  Scenario: A successor asks the workers before it starts anything again
-    The leader dies with a task at work. Its successor reads that the task is
-    with a worker, and may not start it elsewhere before that worker has answered.
+  Scenario: A successor polls the workers before it starts anything again
+    The leader dies while a task is running. Its successor reads that the task is on a
+    worker, and may not start it elsewhere before that worker has answered.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is running
     When a successor loads what was durable
@@ -83,9 +83,9 @@
     Then the successor shows "a" as "running" with one run
 
   Scenario: A successor waits no longer for a lost worker than its last lease lasts
-    A worker leaves for good, its leader waits for the lease to end, and dies. The
-    successor cannot know when the lease was granted; reckoning from its own begin,
-    it would leave the job waiting for half a minute beside idle workers.
+    A worker disappears, and its leader dies while waiting for the lease to expire. The
+    successor does not know when the lease was granted. If it counted from its own
+    start, the job would wait for half a minute beside idle workers.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is running
     When its worker is unreachable for 9 seconds
@@ -93,9 +93,10 @@
     And the successor finds the worker unreachable for 5 seconds
     Then "a" waits for its next run
 
-  Scenario: A lease is granted again only when the record of its end is corrected
-    A worker returns after a cut. The records say that its runs end soon; if the
-    leader renews the lease and dies, the successor would start them a second time.
+  Scenario: A lease is granted again only when the record of its expiry is updated
+    A worker is reachable again after a partition. The records say that its runs end
+    soon: if the leader renewed the lease and died, the successor would start the tasks
+    a second time.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is running
     When its worker is unreachable for 3 seconds
@@ -105,9 +106,9 @@
     When what has changed becomes durable
     Then a lease may be sent to it
 
-  Scenario: A run that came after it was given up is stopped and holds its room
-    An order is carried out seconds late, after another run has taken its place.
-    Left alone it would overfill its worker and do the work twice.
+  Scenario: A run that starts after it was aborted is stopped and holds its capacity
+    A start order is carried out seconds late, after the next run has started. This
+    orphan would exceed its worker's capacity and do the work twice.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is started
     When a worker lists a run of "a" that the engine does not know
@@ -115,9 +116,8 @@
     And nothing else is placed on that worker
 
   Scenario: A job fails only after its last attempt, and by failed ends alone
-    A task is stopped for more urgent work and later fails by its own fault. Only
-    failures count as attempts; otherwise a caller is told too early that its job
-    cannot be done.
+    A task is preempted and later fails through its own fault. Only failures count as
+    attempts; otherwise its caller would be told too early that the job has failed.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators and 2 attempts is running
     When "a" ends as "stopped", and then as "failed", each time started again
@@ -126,8 +126,8 @@
     Then "a" is shown as "failed"
 
   Scenario: A cancelled job is stopped at once and never started again
-    A caller cancels while its job is being started. Whatever is under way must
-    end, and no later pass may start it.
+    A caller cancels while its job is being started. All of its runs must be stopped, and
+    no later pass may start it.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is started
     When "a" is cancelled
@@ -135,8 +135,9 @@
     And no pass plans "a" again
 
   Scenario: A completed job stays completed while the rest of its gang ends
-    One done end stands for a whole gang, so the job is shown as completed. When the
-    other members' ends came in, it was shown as running until they were stored too.
+    The end "done" of one member completes a gang, so its job is shown as completed. The
+    job was shown as running again when the ends of the other members arrived, until
+    they were stored too.
     Given an engine with 2 workers of 8 accelerators
     And job "g" of a gang of 2 tasks with 8 accelerators is started
     When both members of "g" are accepted, and the end "done" of one is listed
@@ -148,17 +149,17 @@
     Then "g" is shown as "completed"
 
   Scenario: A cancelled job is never shown as running again
-    A node without the leader reads the record of the cancellation and shows the job
-    as cancelled. Asked next, the leader, whose own write still waits for a slow
-    store, told that it is running.
+    A node that cannot reach the leader reads the record of the cancellation and shows
+    the job as cancelled. The leader, whose own write waited for a slow store, then
+    showed it as running.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is running
     When "a" is cancelled
     Then "a" is shown as "cancelled"
 
-  Scenario: A cancellation goes before an outcome that nobody has seen
-    The job's last task ends while its cancellation is on its way. Nodes that read
-    the records show it as cancelled; the leader must not contradict them later.
+  Scenario: A cancellation takes precedence over an outcome that nobody has seen
+    The job's last task ends while its cancellation is on its way to the leader. Nodes
+    that read the records show it as cancelled, and the leader must not contradict them.
     Given an engine with 2 workers of 8 accelerators
     And job "a" of 1 task with 8 accelerators is running
     When the end "done" of "a" is listed
@@ -168,16 +169,16 @@
     Then "a" is shown as "cancelled"
 
   Scenario: A cancellation that arrives before its job is remembered
-    The two records travel apart. A leader that forgot the cancellation would run
-    a job that its caller was told is cancelled.
+    The leader may read the two records in any order. If it dropped the cancellation,
+    it would run a job that its caller was told is cancelled.
     Given an engine with 2 workers of 8 accelerators
     When "a" is cancelled and "a" arrives after
     Then no pass plans "a" again
 
-  Scenario Outline: Room, run numbers and gangs hold through any order of events
-    Orders are accepted, rejected, lost or late, workers vanish and return, jobs are
-    cancelled, leaders change. A worker that guards nothing starts whatever it is
-    told: one wrong count and tasks crash for want of memory.
+  Scenario Outline: Capacities, run numbers and gangs are respected in any order of events
+    Orders are accepted, rejected, lost or late, workers disappear and return, jobs are
+    cancelled, leaders change. Workers that do not check their capacity start whatever
+    is ordered: if the leader miscounts, tasks run out of memory.
     When <events> random events reach an engine and its workers, seed <seed>
     Then no worker is ever over its capacity
     And no task ever runs twice at once or after it is done
@@ -193,9 +194,9 @@
       | 1500   | 4    |
 
   Scenario Outline: No task is started beyond its attempts through any order of events
-    The same events, and every other job fails whenever it runs. A failure that is
-    forgotten with its leader or its lost worker starts a hopeless job once more: it
-    takes room, and its caller hears of the failure later.
+    The same events, but every other job fails in each run. If a failure were lost with
+    its leader or worker, the job would start once too often: it would take capacity from
+    others, and its caller would learn of the failure later.
     When <events> random events reach an engine with jobs that always fail, seed <seed>
     Then no worker is ever over its capacity
     And no task ever runs twice at once or after it is done
@@ -207,8 +208,9 @@
       | 1500   | 36   |
       | 1500   | 51   |
 
-  Scenario: Drawn histories break neither room nor runs nor gangs
-    The same events as above, drawn by a library that seeks rare mixtures and can cut
-    a failing history down. A caller would see a task run twice, or not at all.
+  Scenario: Generated histories respect capacities, runs and gangs
+    The same events as above, drawn by a property-testing library that finds rare
+    combinations and can shrink a failing history. Guards against tasks that run twice
+    or not at all.
     When hypothesis draws 200 histories of 120 events
     Then each history respects capacities, runs and gangs
