--- a/features/steps/node_order_steps.py
+++ b/features/steps/node_order_steps.py
@@ -99,7 +99,7 @@
 @then("all of them are at work within 5 s, none in more than its second run")
 def check_begun(context):
     units = context.leader.core.jobs["six"].units
-    assert all(unit.working and unit.run <= 2 for unit in units), units
+    assert all(unit.all_active and unit.run <= 2 for unit in units), units
 
 
 @then("the next answer is awaited for {seconds:f} s")
@@ -123,7 +123,7 @@
 def check_gang(context, seconds):
     play(context.leader.lead(seconds))
     unit = context.leader.engine.find_unit("gang")
-    assert unit.working and unit.run == 1, (unit.run, unit.placements)
+    assert unit.all_active and unit.run == 1, (unit.run, unit.placements)
 
 
 @when("a stop for it is lost, and a job of 4 tasks comes")
@@ -141,7 +141,7 @@
         leader.engine.submit(make_job("four", make_step(4, 1)))
         leader.note_change()
         await asyncio.sleep(1.0)
-        context.units = [(u.working, u.run) for u in leader.core.jobs["four"].units]
+        context.units = [(u.all_active, u.run) for u in leader.core.jobs["four"].units]
         await leading
 
     play(lose())
@@ -209,4 +209,4 @@
 def check_at_work(context, seconds):
     play(context.leader.lead(float(seconds)))
     units = context.leader.core.jobs["small"].units
-    assert all(unit.working for unit in units), units
+    assert all(unit.all_active for unit in units), units
