--- a/features/steps/configuration_links_steps.py
+++ b/features/steps/configuration_links_steps.py
@@ -16,7 +16,7 @@
 )
 from features.support.virtual_time import LoopClock, play
 from firladder._internal.exceptions import PeerUnreachable
-from firladder._internal.node.fleet import GREET_S
+from firladder._internal.node.fleet import GREETING_INTERVAL_S
 from firladder._internal.utils.codec import encode_json
 from firladder._internal.utils.events import Event
 from standins.proxy import Mode, Proxy
@@ -206,8 +206,8 @@
     async def greet_forever():
         while True:
             for fleet, _configuration in context.nodes.values():
-                fleet.greet_some()
-            await asyncio.sleep(GREET_S)
+                fleet.greet_peers()
+            await asyncio.sleep(GREETING_INTERVAL_S)
 
     async def check_later(version):
         await asyncio.sleep(context.bound_s)
--- a/features/steps/engine_lost_orders_steps.py
+++ b/features/steps/engine_lost_orders_steps.py
@@ -9,8 +9,8 @@
     SentUnanswered,
     WorkerRefused,
 )
-from firladder._internal.node.answer_timer import SHORTEST_S as ORDER_TIMEOUT_S
 from firladder._internal.node.term import TICK_S
+from firladder._internal.node.timeout_estimator import MIN_TIMEOUT_S as ORDER_TIMEOUT_S
 
 ANSWER_S = 0.01
 LOST = SentUnanswered(reason="no answer")
--- a/features/steps/engine_refusing_steps.py
+++ b/features/steps/engine_refusing_steps.py
@@ -1,6 +1,6 @@
 from behave import given, then, when
 
-from firladder._internal.node.election import choose_delay
+from firladder._internal.node.election import choose_campaign_delay
 from firladder._internal.node.records import choose_retry_after
 
 WAIT_S = 0.7
@@ -39,4 +39,4 @@
     "a VM with {cores:f} cores and {link:f} Mbit/s stands {delay:f} s after the others"
 )
 def check_delay(context, cores, link, delay):
-    assert choose_delay(processor_cores=cores, link_mbps=link) == delay
+    assert choose_campaign_delay(processor_cores=cores, link_mbps=link) == delay
--- a/features/steps/node_attendance_steps.py
+++ b/features/steps/node_attendance_steps.py
@@ -1,6 +1,6 @@
 from behave import given, then, when
 
-from firladder._internal.node.attendant import LOOK_AGAIN_S, lengthen_pause
+from firladder._internal.node.worker_session import LOOK_AGAIN_S, lengthen_pause
 
 
 @given("a worker that {state} and does not answer looks, each awaited for {wait:f} s")
--- a/features/steps/node_configuration_steps.py
+++ b/features/steps/node_configuration_steps.py
@@ -17,7 +17,7 @@
 from firladder._internal.network.fabric import IDLE_LINK_S
 from firladder._internal.node.configuration import ConfigurationStore
 from firladder._internal.node.distribution import CATCH_UP_S
-from firladder._internal.node.fleet import GREET_S, Fleet
+from firladder._internal.node.fleet import GREETING_INTERVAL_S, Fleet
 from firladder._internal.utils.clocks import LogicalClock
 from firladder._internal.utils.events import Timeline
 
@@ -136,7 +136,7 @@
     async def greet():
         for _ in range(rounds):
             for fleet, _configuration in context.nodes.values():
-                fleet.greet_some()
+                fleet.greet_peers()
             await asyncio.sleep(4 * CATCH_UP_S)
         await close(context)
 
@@ -174,14 +174,14 @@
 @when("{first:d} s of greetings pass, and then {seconds:d} s more")
 def greet_long(context, first, seconds):
     async def greet():
-        for number in range(int((first + seconds) / GREET_S)):
-            if number * GREET_S % IDLE_LINK_S == 0:
+        for number in range(int((first + seconds) / GREETING_INTERVAL_S)):
+            if number * GREETING_INTERVAL_S % IDLE_LINK_S == 0:
                 context.exchange.greeted.clear()
-            if number * GREET_S == first:
+            if number * GREETING_INTERVAL_S == first:
                 context.busiest = 0
             for fleet, _configuration in context.nodes.values():
-                fleet.greet_some()
-            await asyncio.sleep(GREET_S)
+                fleet.greet_peers()
+            await asyncio.sleep(GREETING_INTERVAL_S)
             most = max(map(len, context.exchange.greeted.values()))
             context.busiest = max(getattr(context, "busiest", 0), most)
         await close(context)
--- a/features/steps/node_handover_steps.py
+++ b/features/steps/node_handover_steps.py
@@ -6,7 +6,7 @@
 from features.environment import start_platform
 from features.support.virtual_time import play
 from firladder._internal.node.election import Standing
-from firladder._internal.node.handover import HandOver
+from firladder._internal.node.handover import LeadershipHandover
 from standins.site import wait_for
 
 JOB = {"spec": "0.3", "steps": [{"count": 1, "cpu": 1000, "mem_mb": 512, "gpu": 1}]}
@@ -15,7 +15,7 @@
 @given("a leader with a link of {link:f} Mbit/s whose campaigns wait {delay:f} s")
 def make_leader(context, link, delay):
     context.peers, context.reaches_store = [], True
-    context.hand_over = HandOver(
+    context.hand_over = LeadershipHandover(
         own=Standing(link, delay),
         list_able=lambda: context.peers,
         reaches_store=lambda: context.reaches_store,
--- a/features/steps/node_isolation_steps.py
+++ b/features/steps/node_isolation_steps.py
@@ -6,8 +6,8 @@
 from firladder._internal.exceptions import PeerUnreachable
 from firladder._internal.models.message import NodeView
 from firladder._internal.node.configuration import ConfigurationStore
-from firladder._internal.node.fleet import GREET_S, GREET_TIMEOUT_S, Fleet
-from firladder._internal.node.isolation import is_cut_off
+from firladder._internal.node.fleet import GREET_TIMEOUT_S, GREETING_INTERVAL_S, Fleet
+from firladder._internal.node.partition import is_partitioned
 from firladder._internal.utils.clocks import LogicalClock
 from firladder._internal.utils.events import Timeline
 
@@ -66,12 +66,12 @@
 
 @then("a node is cut off")
 def check_cut_off(context):
-    assert is_cut_off(others_silent_s=context.silent, store_away_s=context.away)
+    assert is_partitioned(others_silent_s=context.silent, store_away_s=context.away)
 
 
 @then("a node is not cut off")
 def check_connected(context):
-    assert not is_cut_off(others_silent_s=context.silent, store_away_s=context.away)
+    assert not is_partitioned(others_silent_s=context.silent, store_away_s=context.away)
 
 
 @given("a fleet of {domains:d} failure domains with {nodes:d} nodes each")
@@ -111,11 +111,11 @@
         due = context.clock.now
         while context.clock.now < until:
             if context.clock.now >= due:
-                context.fleet.greet_some()
-                due = context.clock.now + GREET_S
+                context.fleet.greet_peers()
+                due = context.clock.now + GREETING_INTERVAL_S
             context.clock.now += ROUND_S
             # A greeting that is not answered changes nothing when it times out.
-            assert GREET_TIMEOUT_S < GREET_S
+            assert GREET_TIMEOUT_S < GREETING_INTERVAL_S
             await asyncio.sleep(0.001)
             longest = max(longest, context.fleet.measure_silence() or 0.0)
 
--- a/features/steps/node_order_steps.py
+++ b/features/steps/node_order_steps.py
@@ -24,10 +24,10 @@
         assert len(calls.running) == 8, calls.running
         calls.silent = True
         leader.core.cancel_job("job")
-        leader.note_change()
+        leader.request_pass()
         await asyncio.sleep(silent)
-        (attendant,) = leader.attendants.values()
-        context.waiting = attendant.waiting_orders
+        (session,) = leader.sessions.values()
+        context.waiting = session.waiting_orders
         calls.silent = False
         await asyncio.sleep(1.0)
         context.left = dict(calls.running)
@@ -62,7 +62,7 @@
         # The look that waits has left by now, and nothing ends for two seconds.
         leader.calls.lost = ["start"] * 4
         leader.engine.submit(make_job("lost", make_step(1, 1)))
-        leader.note_change()
+        leader.request_pass()
         await asyncio.sleep(2.0)
         leader.calls.lost = []
         await leading
@@ -104,7 +104,7 @@
 
 @then("the next answer is awaited for {seconds:f} s")
 def check_wait(context, seconds):
-    timer = context.leader.answer_timer
+    timer = context.leader.timeout_estimator
     assert timer.timeout_s == seconds, timer.timeout_s
 
 
@@ -135,11 +135,11 @@
         await asyncio.sleep(1.0)
         leader.calls.lost = ["stop"]
         leader.core.cancel_job("long")
-        leader.note_change()
+        leader.request_pass()
         # The stop has left, and has no answer when the job's starts come up.
         await asyncio.sleep(0.2)
         leader.engine.submit(make_job("four", make_step(4, 1)))
-        leader.note_change()
+        leader.request_pass()
         await asyncio.sleep(1.0)
         context.units = [(u.all_active, u.run) for u in leader.core.jobs["four"].units]
         await leading
@@ -161,7 +161,7 @@
         leader.engine.submit(make_job("small", make_step(6, 1)))
         await asyncio.sleep(0.1)
         then_do(leader)
-        leader.note_change()
+        leader.request_pass()
         await leading
 
     play(order())
--- a/features/steps/protocol_model_steps.py
+++ b/features/steps/protocol_model_steps.py
@@ -42,8 +42,8 @@
 )
 from firladder._internal.models.message import Identity
 from firladder._internal.models.task import TaskStatus
-from firladder._internal.node.journal import Journal
 from firladder._internal.node.keys import LEADER
+from firladder._internal.node.progress_writer import ProgressWriter
 from firladder._internal.platform.store import Conflict, Item
 from firladder._internal.scheduler.gang_messages import MemberLost
 from firladder._internal.utils.clocks import LogicalClock
@@ -341,7 +341,7 @@
     @replay("leader_compared")
     async def write_late(self):
         world, _ = self.start()
-        journal = Journal(
+        journal = ProgressWriter(
             core=world.core,
             store=FakePlatformStore(leader=2),
             token=1,
--- a/features/support/fake_workers.py
+++ b/features/support/fake_workers.py
@@ -12,8 +12,8 @@
     RunningTask,
     WorkerReport,
 )
-from firladder._internal.node.answer_timer import AnswerTimer
-from firladder._internal.node.attendant import Attendant
+from firladder._internal.node.timeout_estimator import TimeoutEstimator
+from firladder._internal.node.worker_session import WorkerSession
 
 NO_ANSWER = SentUnanswered(reason="no answer")
 
@@ -136,13 +136,13 @@
         self.engine = EngineWorld(workers)
         self.core = self.engine.core
         self.calls = FakeWorkerCalls()
-        self.answer_timer = AnswerTimer()
+        self.timeout_estimator = TimeoutEstimator()
         self.may_renew = True
-        self.attendants: dict[str, Attendant] = {}
+        self.sessions: dict[str, WorkerSession] = {}
         self.waits: list[float] = []
         self._changed = asyncio.Event()
 
-    def note_change(self) -> None:
+    def request_pass(self) -> None:
         self._changed.set()
 
     def spawn(self, work, *, name: str):
@@ -151,19 +151,19 @@
     def step_down(self, reason: str) -> None:
         raise AssertionError(reason)
 
-    def note_order(self, kind: str, waited_s: float, took_s: float) -> None:
+    def record_order(self, kind: str, waited_s: float, took_s: float) -> None:
         self.waits.append(waited_s)
 
     async def lead(self, until: float) -> None:
         """Plan, store and send as a leader does, up to ``until`` on its clock."""
-        self.attendants = {
-            worker.worker_id: Attendant(self, worker)
+        self.sessions = {
+            worker.worker_id: WorkerSession(self, worker)
             for worker in self.core.workers.values()
         }
         tasks = [
             asyncio.create_task(work)
-            for attendant in self.attendants.values()
-            for work in (attendant.watch(), attendant.carry_orders())
+            for session in self.sessions.values()
+            for work in (session.watch(), session.send_orders())
         ]
         tasks.append(asyncio.create_task(self._tick()))
         tasks.append(asyncio.create_task(self._plan()))
@@ -175,8 +175,8 @@
     async def _tick(self) -> None:
         while True:
             self._changed.set()
-            for attendant in self.attendants.values():
-                attendant.wake()
+            for session in self.sessions.values():
+                session.wake()
             await asyncio.sleep(0.25)
 
     async def _plan(self) -> None:
@@ -188,6 +188,6 @@
             engine.now = self.clock.read_monotonic()
             self.core.expire_runs(engine.now)
             for placement in engine.start_all():
-                self.attendants[placement.worker_id].order(placement, start=True)
+                self.sessions[placement.worker_id].order(placement, start=True)
             for placement in self.core.take_stops(engine.now):
-                self.attendants[placement.worker_id].order(placement, start=False)
+                self.sessions[placement.worker_id].order(placement, start=False)
--- a/src/firladder/_internal/node/answers.py
+++ b/src/firladder/_internal/node/answers.py
@@ -31,7 +31,7 @@
         term.add_record(body.record)
     elif isinstance(body, AnnounceCancel):
         term.core.cancel_job(body.job_id)
-        term.note_change()
+        term.request_pass()
 
 
 class PeerAnswers:
--- a/src/firladder/_internal/node/daemon.py
+++ b/src/firladder/_internal/node/daemon.py
@@ -31,12 +31,12 @@
     measure_standing,
 )
 from .fleet import Fleet
-from .handover import HandOver
+from .handover import LeadershipHandover
 from .intake import Intake
-from .isolation import Isolation
 from .keys import LEADER
 from .metrics import NodeMetrics
 from .operations import METRICS, READY
+from .partition import Isolation
 from .records import Records
 from .term import LOAD_S, Term
 from .watching import PrefixWatch
@@ -133,7 +133,7 @@
             reaches_store=lambda: self.store.reachable,
             standing=self._standing,
         )
-        self._hand_over = HandOver(
+        self._hand_over = LeadershipHandover(
             own=self._standing,
             list_able=self.fleet.list_standings,
             reaches_store=lambda: self.store.reachable,
--- a/src/firladder/_internal/node/election.py
+++ b/src/firladder/_internal/node/election.py
@@ -61,7 +61,7 @@
         return self.has_small_link and better
 
 
-def choose_delay(*, processor_cores: float, link_mbps: float) -> float:
+def choose_campaign_delay(*, processor_cores: float, link_mbps: float) -> float:
     """Return for how long a VM lets larger ones go first, in seconds.
 
     A leader on a small VM keeps its lease and yet cannot read the records in time,
@@ -73,7 +73,9 @@
 
 def measure_standing(*, processor_cores: float, link_mbps: float) -> Standing:
     """Return how well a VM of this size can lead."""
-    delay_s = choose_delay(processor_cores=processor_cores, link_mbps=link_mbps)
+    delay_s = choose_campaign_delay(
+        processor_cores=processor_cores, link_mbps=link_mbps
+    )
     return Standing(link_mbps, delay_s)
 
 
--- a/src/firladder/_internal/node/fleet.py
+++ b/src/firladder/_internal/node/fleet.py
@@ -27,7 +27,7 @@
 
 logger = logging.getLogger(__name__)
 
-GREET_S = 0.5
+GREETING_INTERVAL_S = 0.5
 """Seconds between two greetings: a configuration that one node has reaches a
 node without the store within a second, inside the two that operators are
 promised."""
@@ -247,10 +247,10 @@
 
     async def _greet_forever(self) -> None:
         while True:
-            self.greet_some()
-            await asyncio.sleep(GREET_S * self._rng.uniform(0.8, 1.2))
+            self.greet_peers()
+            await asyncio.sleep(GREETING_INTERVAL_S * self._rng.uniform(0.8, 1.2))
 
-    def greet_some(self) -> None:
+    def greet_peers(self) -> None:
         """Greet the peers of one round in the background."""
         peers = self.list_peers()
         chosen = {self._choose_partner(peers)} if peers else set()
--- a/src/firladder/_internal/node/handover.py
+++ b/src/firladder/_internal/node/handover.py
@@ -21,7 +21,7 @@
 """Seconds between two looks at who could lead; nodes greet the leader as often."""
 
 
-class HandOver:
+class LeadershipHandover:
     """Tells when a leader should give way."""
 
     def __init__(
--- a/src/firladder/_internal/node/owner.py
+++ b/src/firladder/_internal/node/owner.py
@@ -7,7 +7,7 @@
 from ..engine.core import Core
 from ..platform.workers import WorkerCalls
 from ..utils.clocks import Clock
-from .answer_timer import AnswerTimer
+from .timeout_estimator import TimeoutEstimator
 
 T = TypeVar("T")
 
@@ -18,16 +18,16 @@
     core: Core
     calls: WorkerCalls
     clock: Clock
-    answer_timer: AnswerTimer
+    timeout_estimator: TimeoutEstimator
 
     @property
     def may_renew(self) -> bool:
         """Tell whether leases may still be renewed."""
 
-    def note_change(self) -> None:
+    def request_pass(self) -> None:
         """Plan and write what an event has changed."""
 
-    def note_order(self, kind: str, waited_s: float, took_s: float) -> None:
+    def record_order(self, kind: str, waited_s: float, took_s: float) -> None:
         """Count an order that waited for others and was then sent."""
 
     def spawn(self, work: Coroutine[Any, Any, T], *, name: str) -> asyncio.Task[T]:
--- a/src/firladder/_internal/node/isolation.py
+++ b/src/firladder/_internal/node/partition.py
@@ -23,7 +23,7 @@
 """Seconds for the store's answer to a doubtful node; a slow store takes 0.25 s."""
 
 
-def is_cut_off(*, others_silent_s: float | None, store_away_s: float) -> bool:
+def is_partitioned(*, others_silent_s: float | None, store_away_s: float) -> bool:
     """Tell whether a node can serve nobody that another node could not serve better.
 
     Answers a failure domain that is cut off while its callers still reach it: its nodes
@@ -73,7 +73,7 @@
         now = self._clock.read_monotonic()
         silent_s = self._fleet.measure_silence()
         away_s = self._store.unreachable_s(now)
-        cut_off = is_cut_off(others_silent_s=silent_s, store_away_s=away_s)
+        cut_off = is_partitioned(others_silent_s=silent_s, store_away_s=away_s)
         if cut_off == self.cut_off:
             return
         self.cut_off = cut_off
--- a/src/firladder/_internal/node/journal.py
+++ b/src/firladder/_internal/node/progress_writer.py
@@ -27,7 +27,7 @@
 a priced call that takes the store 4 ms."""
 
 
-class Journal:
+class ProgressWriter:
     """Writes each changed job's progress under the leader's own key.
 
     A write whose answer was lost may be carried out seconds later. Each write
--- a/src/firladder/_internal/node/records.py
+++ b/src/firladder/_internal/node/records.py
@@ -18,8 +18,8 @@
 from ..platform.store import Conflict, Item, PlatformStore, Write
 from ..utils.clocks import Clock
 from .fleet import Fleet
-from .isolation import Isolation
 from .keys import CANCELS, JOBS, PROGRESS
+from .partition import Isolation
 
 logger = logging.getLogger(__name__)
 
--- a/src/firladder/_internal/node/term.py
+++ b/src/firladder/_internal/node/term.py
@@ -25,14 +25,14 @@
 from ..utils.clocks import Clock
 from ..utils.events import Event, Timeline
 from ..utils.tasks import TaskSet
-from .answer_timer import AnswerTimer
-from .attendant import Attendant
 from .election import Leadership
 from .evacuations import Evacuations
-from .journal import Journal
 from .keys import CANCELS, INTAKE, JOBS, PROGRESS
+from .progress_writer import ProgressWriter
 from .retention import Retention
+from .timeout_estimator import TimeoutEstimator
 from .watching import PrefixWatch
+from .worker_session import WorkerSession
 
 logger = logging.getLogger(__name__)
 
@@ -79,7 +79,7 @@
         self.too_slow = False
         self.core = Core(lease_s=settings.max_hold_s, note=self._note)
         self.calls = calls
-        self.answer_timer = AnswerTimer()
+        self.timeout_estimator = TimeoutEstimator()
         self.clock = clock
         self.leadership = leadership
         self._store = store
@@ -91,16 +91,16 @@
             self.core, reclaim_s=settings.reclaim_s, restart_s=settings.restart_s
         )
         self._evacuations = Evacuations(
-            core=self.core, timeline=timeline, on_change=self.note_change
+            core=self.core, timeline=timeline, on_change=self.request_pass
         )
         self._revisions: dict[str, int] = {}
-        self._attendants: dict[str, Attendant] = {}
+        self._attendants: dict[str, WorkerSession] = {}
         self._ended: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         self._change = asyncio.Event()
         self._known_entries: dict[str, int] = {}
         self.ready = False
         self.passes = 0
-        self._journal = Journal(
+        self._journal = ProgressWriter(
             core=self.core,
             store=store,
             token=leadership.token,
@@ -138,18 +138,18 @@
         """Run ``work`` until it ends, or the term does."""
         return self._tasks.spawn(work, name=name)
 
-    def note_change(self) -> None:
+    def request_pass(self) -> None:
         """Plan and write what an event has changed, soon."""
         self._change.set()
 
-    def note_order(self, kind: str, waited_s: float, took_s: float) -> None:
+    def record_order(self, kind: str, waited_s: float, took_s: float) -> None:
         """Count an order that waited for others and was then sent."""
         self._on_order(kind, waited_s, took_s)
 
     def adopt_configuration(self, configuration: QueueConfiguration) -> None:
         """Schedule by a new configuration from now on."""
         self.core.configuration = configuration
-        self.note_change()
+        self.request_pass()
 
     async def run(self) -> str:
         """Lead until the term ends; return why it did."""
@@ -271,12 +271,12 @@
     def _relist_intake(self, listing: Listing) -> None:
         for item in listing.items:
             self._take_intake(item.key, item.value, {})
-        self.note_change()
+        self.request_pass()
 
     def _change_intake(self, change: Change) -> None:
         if change.value is not None:
             self._take_intake(change.key, change.value, {})
-            self.note_change()
+            self.request_pass()
 
     def _take_intake(
         self, key: str, value: bytes, recorded: dict[str, JobProgress]
@@ -297,7 +297,7 @@
             logger.warning("stored job left out: %s", accepted.reason)
             return
         self.core.add_job(accepted, progress)
-        self.note_change()
+        self.request_pass()
 
     def _take_workers(self, listing: Listing) -> None:
         registered = {item.key for item in listing.items}
@@ -306,7 +306,7 @@
                 self.core.unregister_worker(worker.worker_id)
         for item in listing.items:
             self._take_worker(item.key, item.value, item.revision)
-        self.note_change()
+        self.request_pass()
 
     def _change_worker(self, change: Change) -> None:
         if change.value is None:
@@ -314,7 +314,7 @@
             self.core.unregister_worker(change.key.removeprefix(WORKER_PREFIX))
         else:
             self._take_worker(change.key, change.value, change.revision)
-        self.note_change()
+        self.request_pass()
 
     def _take_worker(self, key: str, value: bytes, revision: int) -> None:
         if self._known_entries.get(key) == revision:
@@ -339,15 +339,15 @@
     def _attend(self, worker: Worker) -> None:
         if worker.worker_id in self._attendants or not worker.entry.address:
             return
-        attendant = self._attendants[worker.worker_id] = Attendant(self, worker)
+        session = self._attendants[worker.worker_id] = WorkerSession(self, worker)
         self._tasks.spawn(
-            self._watch_worker(worker, attendant), name=f"watch-{worker.worker_id}"
+            self._watch_worker(worker, session), name=f"watch-{worker.worker_id}"
         )
-        self._tasks.spawn(attendant.carry_orders(), name=f"orders-{worker.worker_id}")
+        self._tasks.spawn(session.send_orders(), name=f"orders-{worker.worker_id}")
 
-    async def _watch_worker(self, worker: Worker, attendant: Attendant) -> None:
-        await attendant.watch()
-        if self._attendants.get(worker.worker_id) is attendant:
+    async def _watch_worker(self, worker: Worker, session: WorkerSession) -> None:
+        await session.watch()
+        if self._attendants.get(worker.worker_id) is session:
             del self._attendants[worker.worker_id]
 
     # -- deciding and ordering ------------------------------------------------
@@ -368,18 +368,18 @@
 
     def _send_orders(self, now: float) -> None:
         for placement in self.core.take_starts():
-            attendant = self._attendants.get(placement.worker_id)
-            if attendant is not None:
-                attendant.order(placement, start=True)
+            session = self._attendants.get(placement.worker_id)
+            if session is not None:
+                session.order(placement, start=True)
         for placement in self.core.take_stops(now):
-            attendant = self._attendants.get(placement.worker_id)
-            if attendant is not None:
-                attendant.order(placement, start=False)
+            session = self._attendants.get(placement.worker_id)
+            if session is not None:
+                session.order(placement, start=False)
 
     def _note_durable(self) -> None:
         self._send_orders(self.clock.read_monotonic())
-        for attendant in self._attendants.values():
-            attendant.wake()
+        for session in self._attendants.values():
+            session.wake()
 
     async def _tick_forever(self) -> None:
         while True:
@@ -388,8 +388,8 @@
             self.core.expire_runs(now)
             self.core.abort_stalled_runs(now)
             self._planner.move_off_draining(now)
-            for attendant in list(self._attendants.values()):
-                attendant.wake()
+            for session in list(self._attendants.values()):
+                session.wake()
             self._plan_once()
 
     def _note(self, what: str, **inputs: object) -> None:
--- a/src/firladder/_internal/node/answer_timer.py
+++ b/src/firladder/_internal/node/timeout_estimator.py
@@ -1,6 +1,6 @@
 """Choose for how long the answers of workers are awaited."""
 
-SHORTEST_S = 0.35
+MIN_TIMEOUT_S = 0.35
 """Seconds for the answer to an order at least; workers answer within milliseconds. An
 order that was lost is taken back before its task is planned again, and urgent work has
 little more than a second to spare."""
@@ -18,7 +18,7 @@
 """Mean deviations beyond the mean after which an answer counts as lost."""
 
 
-class AnswerTimer:
+class TimeoutEstimator:
     """A smoothed round trip with its spread, over all workers of a leader.
 
     What makes all answers late is the leader's own: its link, or its processor. Given
@@ -35,7 +35,7 @@
     def timeout_s(self) -> float:
         """Return for how long an answer is awaited, in seconds."""
         usual_s = (self._mean_s or 0.0) + SPREADS * self._spread_s
-        return min(LONGEST_S, max(SHORTEST_S, usual_s))
+        return min(LONGEST_S, max(MIN_TIMEOUT_S, usual_s))
 
     def note_answer(self, took_s: float) -> None:
         """Learn from an answer, in time or late."""
--- a/src/firladder/_internal/node/attendant.py
+++ b/src/firladder/_internal/node/worker_session.py
@@ -17,9 +17,9 @@
     WorkerReplaced,
 )
 from ..models.order import WorkerReport
-from .answer_timer import LONGEST_S
 from .orders import Order, OrderQueue
 from .owner import Owner
+from .timeout_estimator import LONGEST_S
 
 logger = logging.getLogger(__name__)
 
@@ -63,7 +63,7 @@
     return min(2 * pause_s, HELD_PAUSE_S if holds_runs else MOST_PAUSE_S)
 
 
-class Attendant:
+class WorkerSession:
     """The task that owns all calls to one worker."""
 
     def __init__(self, owner: Owner, worker: Worker) -> None:
@@ -91,7 +91,7 @@
             self._orders.add_start(placement, now)
         elif self._orders.holds_start(placement):
             self._core.drop_unsent(placement)
-            self._owner.note_change()
+            self._owner.request_pass()
         else:
             self._orders.add_stop(placement, now)
 
@@ -183,7 +183,7 @@
                 )
             worker.drop_acknowledged_ends(seen)
             self._core.handle_report(worker, answer, sent_at=sent_at, now=now)
-            owner.note_change()
+            owner.request_pass()
             return True
         if grant and isinstance(answer, NotSent | WorkerRefused | OrderRejected):
             leases.record_grant_dropped(worker, grant)
@@ -202,7 +202,7 @@
         return DRAINING_WAIT_S if worker.entry.draining else LOOK_WAIT_S
 
     def _choose_look_timeout(self, wait_s: float) -> float:
-        usual_s = self._owner.answer_timer.timeout_s
+        usual_s = self._owner.timeout_estimator.timeout_s
         return wait_s + max(LOOK_SLACK_S if wait_s else QUICK_S, usual_s)
 
     async def _await_answer(
@@ -229,7 +229,7 @@
             return
         if isinstance(task.result(), float | OrderRejected):
             took_s = self._owner.clock.read_monotonic() - sent_at
-            self._owner.answer_timer.note_answer(took_s)
+            self._owner.timeout_estimator.note_answer(took_s)
 
     async def _look_beside(self) -> None:
         """Look beside the look that waits, where that one may wait in vain."""
@@ -250,9 +250,9 @@
                     extra={"worker": worker.worker_id, "reason": answer.reason},
                 )
             self._core.mark_unreachable(worker, now)
-        self._owner.note_change()
+        self._owner.request_pass()
 
-    async def carry_orders(self) -> None:
+    async def send_orders(self) -> None:
         """Send the orders one after the other over one connection."""
         while not self._gone:
             order = await self._orders.take()
@@ -264,7 +264,7 @@
             if not self._orders or not self._worker.reachable:
                 await self._look_beside()
             self.wake()
-            self._owner.note_change()
+            self._owner.request_pass()
 
     async def _start(self, order: Order) -> None:
         worker, owner, placement = self._worker, self._owner, order.placement
@@ -314,7 +314,7 @@
         the gangs that they belong to.
         """
         worker, clock = self._worker, self._owner.clock
-        until = worker.unreachable_at + self._owner.answer_timer.timeout_s
+        until = worker.unreachable_at + self._owner.timeout_estimator.timeout_s
         while not (worker.may_send_lease or self._gone):
             left_s = until - clock.read_monotonic()
             if left_s <= 0:
@@ -328,7 +328,7 @@
         self, order: Order, deadline_s: float
     ) -> float | OrderFailure:
         sent_at = self._owner.clock.read_monotonic()
-        timeout_s = self._owner.answer_timer.timeout_s
+        timeout_s = self._owner.timeout_estimator.timeout_s
         call = self._owner.calls.start(
             self._core.describe_start(order.placement),
             deadline_s=deadline_s,
@@ -348,7 +348,7 @@
         if placement.stop_answered:
             return
         sent_at = owner.clock.read_monotonic()
-        timeout_s = owner.answer_timer.timeout_s
+        timeout_s = owner.timeout_estimator.timeout_s
         call = owner.calls.stop(stop, send_within_s=timeout_s, timeout_s=LONGEST_S)
         answer = await self._await_answer(call, timeout_s)
         now = owner.clock.read_monotonic()
@@ -362,7 +362,7 @@
         self, order: Order, answer: float | OrderFailure, *, sent_at: float, now: float
     ) -> None:
         waited_s, took_s = sent_at - order.queued_at, now - sent_at
-        self._owner.note_order(order.kind, waited_s, took_s)
+        self._owner.record_order(order.kind, waited_s, took_s)
         if isinstance(answer, float):
             return
         logger.info(
