--- a/features/steps/node_attendance_steps.py
+++ b/features/steps/node_attendance_steps.py
@@ -1,6 +1,9 @@
 from behave import given, then, when
 
-from firladder._internal.node.worker_session import LOOK_AGAIN_S, lengthen_pause
+from firladder._internal.node.worker_session import (
+    POLL_RETRY_PAUSE_S,
+    increase_retry_pause,
+)
 
 
 @given("a worker that {state} and does not answer looks, each awaited for {wait:f} s")
@@ -12,13 +15,13 @@
 @when("it has been out of reach for {seconds:d} s")
 def stay_away(context, seconds):
     """Note when looks leave, and the longest time from one to the next."""
-    at, pause_s = 0.0, LOOK_AGAIN_S
+    at, pause_s = 0.0, POLL_RETRY_PAUSE_S
     context.longest = 0.0
     while at < seconds:
         cycle_s = context.wait + pause_s
         context.longest = max(context.longest, cycle_s)
         at += cycle_s
-        pause_s = lengthen_pause(pause_s, holds_runs=context.holds_runs)
+        pause_s = increase_retry_pause(pause_s, holds_runs=context.holds_runs)
 
 
 @then("a look leaves within {most:f} s of its return")
--- a/features/steps/node_configuration_steps.py
+++ b/features/steps/node_configuration_steps.py
@@ -15,8 +15,8 @@
     QueuesReply,
 )
 from firladder._internal.network.fabric import IDLE_LINK_S
-from firladder._internal.node.configuration import ConfigurationStore
-from firladder._internal.node.distribution import CATCH_UP_S
+from firladder._internal.node.configuration import ConfigurationCache
+from firladder._internal.node.distribution import CATCH_UP_DELAY_S
 from firladder._internal.node.fleet import GREETING_INTERVAL_S, Fleet
 from firladder._internal.utils.clocks import LogicalClock
 from firladder._internal.utils.events import Timeline
@@ -86,7 +86,7 @@
 def build_nodes(context, ips, rng, *, reaches_store):
     """Make a node of each address, all with version 1 and some sixty seeds."""
     for number, ip in enumerate(ips):
-        configuration = ConfigurationStore()
+        configuration = ConfigurationCache()
         configuration.offer(b'{"version": 1}', source="test")
         fleet = Fleet(
             ip=ip,
@@ -124,7 +124,7 @@
             value = json.dumps({"version": version, "note": note}).encode()
             for ip in context.served:
                 context.nodes[ip][1].offer(value, source="store")
-        await asyncio.sleep(4 * CATCH_UP_S)
+        await asyncio.sleep(4 * CATCH_UP_DELAY_S)
         await close(context)
 
     play(change())
@@ -137,7 +137,7 @@
         for _ in range(rounds):
             for fleet, _configuration in context.nodes.values():
                 fleet.greet_peers()
-            await asyncio.sleep(4 * CATCH_UP_S)
+            await asyncio.sleep(4 * CATCH_UP_DELAY_S)
         await close(context)
 
     play(greet())
--- a/features/steps/node_handover_steps.py
+++ b/features/steps/node_handover_steps.py
@@ -5,7 +5,7 @@
 
 from features.environment import start_platform
 from features.support.virtual_time import play
-from firladder._internal.node.election import Standing
+from firladder._internal.node.election import LeaderFitness
 from firladder._internal.node.handover import LeadershipHandover
 from standins.site import wait_for
 
@@ -15,16 +15,16 @@
 @given("a leader with a link of {link:f} Mbit/s whose campaigns wait {delay:f} s")
 def make_leader(context, link, delay):
     context.peers, context.reaches_store = [], True
-    context.hand_over = LeadershipHandover(
-        own=Standing(link, delay),
-        list_able=lambda: context.peers,
+    context.handover = LeadershipHandover(
+        own=LeaderFitness(link, delay),
+        list_candidates=lambda: context.peers,
         reaches_store=lambda: context.reaches_store,
     )
 
 
 @given("a peer with {link:f} Mbit/s whose campaigns wait {delay:f} s")
 def add_peer(context, link, delay):
-    context.peers.append(Standing(link, delay))
+    context.peers.append(LeaderFitness(link, delay))
 
 
 @when("the store does not answer the leader")
@@ -35,7 +35,7 @@
 def gives_way(context, within_s):
     async def wait():
         try:
-            await asyncio.wait_for(context.hand_over.wait_until_due(), within_s)
+            await asyncio.wait_for(context.handover.wait_until_due(), within_s)
         except TimeoutError:
             return False
         return True
@@ -65,7 +65,7 @@
 
     async def lead():
         while True:
-            await context.hand_over.wait_until_due()
+            await context.handover.wait_until_due()
             context.given += 1
 
     context.leading = lead
--- a/features/steps/node_isolation_steps.py
+++ b/features/steps/node_isolation_steps.py
@@ -5,7 +5,7 @@
 
 from firladder._internal.exceptions import PeerUnreachable
 from firladder._internal.models.message import NodeView
-from firladder._internal.node.configuration import ConfigurationStore
+from firladder._internal.node.configuration import ConfigurationCache
 from firladder._internal.node.fleet import GREET_TIMEOUT_S, GREETING_INTERVAL_S, Fleet
 from firladder._internal.node.partition import is_partitioned
 from firladder._internal.utils.clocks import LogicalClock
@@ -82,7 +82,7 @@
     context.clock = SteppedClock()
     context.fabric = CutFabric(context.domains)
     own = next(iter(context.domains))
-    configuration = ConfigurationStore()
+    configuration = ConfigurationCache()
     configuration.offer(b'{"version": 1}', source="test")
     context.fleet = Fleet(
         ip=own,
@@ -159,7 +159,7 @@
 @given("every peer has said that it reaches the store")
 def tell_all(context):
     context.leader = "10.1.0.0"
-    context.fleet.note_leader(context.leader, 5)
+    context.fleet.record_leader(context.leader, 5)
     greet(context, 6.0)
     assert context.fleet.find_store_helper() == context.leader
 
--- a/features/steps/node_order_steps.py
+++ b/features/steps/node_order_steps.py
@@ -27,7 +27,7 @@
         leader.request_pass()
         await asyncio.sleep(silent)
         (session,) = leader.sessions.values()
-        context.waiting = session.waiting_orders
+        context.waiting = session.queued_orders
         calls.silent = False
         await asyncio.sleep(1.0)
         context.left = dict(calls.running)
--- a/src/firladder/_internal/node/intake.py
+++ b/src/firladder/_internal/node/client_api.py
@@ -51,21 +51,21 @@
 """Seconds before a caller's deadline at which it gets its answer at the latest:
 the way to the caller, and this process being busy."""
 
-MARGIN_SHARE = 0.35
+MAX_MARGIN_SHARE = 0.35
 """The most that this margin takes of a deadline: a caller's last try has a tenth of a
 second left, in which the store answers many times over."""
 
 LEADER_TIMEOUT_S = 0.25
 """Seconds for the leader's answer; it answers from memory."""
 
-MOST_CACHED = 5000
+MAX_CACHED_OUTCOMES = 5000
 """Outcomes remembered here; they never change, and clients ask again."""
 
 RETRY_AFTER_S = 1.0
 """Seconds after which callers shall come back to a node that cannot serve now."""
 
 
-class Intake:
+class ClientApi:
     """Handlers of clients' calls; state that must last is in the store."""
 
     def __init__(self, node: "Node", records: Records) -> None:
@@ -83,13 +83,13 @@
 
     async def answer(self, call: HttpCall) -> HttpReply:
         """Answer a call and count it."""
-        began = self._node.clock.read_monotonic()
-        reply = await self._answer(call, began)
-        spent = self._node.clock.read_monotonic() - began
-        self._node.note_call(call.method, reply.status, spent)
+        started_at = self._node.clock.read_monotonic()
+        reply = await self._answer(call, started_at)
+        spent_s = self._node.clock.read_monotonic() - started_at
+        self._node.record_call(call.method, reply.status, spent_s)
         return reply
 
-    async def _answer(self, call: HttpCall, began: float) -> HttpReply:
+    async def _answer(self, call: HttpCall, started_at: float) -> HttpReply:
         configuration = self._node.configuration
         if not configuration.version:
             return reply_failure(
@@ -100,7 +100,7 @@
         queue = configuration.find_queue(call.headers.get("host", ""), call.path)
         if queue is None:
             unknown = NotFound(reason="no such queue", field="path")
-            return self._refuse(call, unknown, status=404)
+            return self._reject(call, unknown, status=404)
         organisation = Organisation("")
         if not queue.public:
             known = configuration.find_organisation(
@@ -108,7 +108,7 @@
             )
             if known is None:
                 unknown_key = UnknownKey(reason="no organisation has this key")
-                return self._refuse(call, unknown_key, status=401)
+                return self._reject(call, unknown_key, status=401)
             organisation = known
         job_id = call.path[len(queue.prefix) :]
         if not job_id and call.method == "GET":
@@ -118,14 +118,18 @@
                 InvalidValue(reason="must be 16 hexadecimal digits", field="id")
             )
         deadline_s = _read_deadline(call)
-        until = began + deadline_s - min(ANSWER_MARGIN_S, deadline_s * MARGIN_SHARE)
+        until = (
+            started_at
+            + deadline_s
+            - min(ANSWER_MARGIN_S, deadline_s * MAX_MARGIN_SHARE)
+        )
         if call.method == "POST":
             return await self._submit(call, queue, organisation, job_id, until)
         if call.method == "DELETE":
             return await self._cancel(job_id, until)
-        return await self._show(job_id)
+        return await self._report_state(job_id)
 
-    def _refuse(self, call: HttpCall, failure: Failure, *, status: int) -> HttpReply:
+    def _reject(self, call: HttpCall, failure: Failure, *, status: int) -> HttpReply:
         configuration = self._node.configuration
         confirmed_s = self._node.measure_confirmation_age()
         self._node.timeline.record(
@@ -136,7 +140,7 @@
             status=status,
             configuration=configuration.version,
             source=configuration.source,
-            heard=configuration.heard_version,
+            heard=configuration.newest_known_version,
             confirmed_s=None if confirmed_s is None else round(confirmed_s, 3),
         )
         return reply_failure(failure)
@@ -180,12 +184,12 @@
         )
         if not isinstance(result, Stored):
             return reply_failure(result)
-        if result.fresh:
+        if result.created:
             self._node.announce(AnnounceJob(record=record))
         return reply_json({})
 
     async def _cancel(self, job_id: str, until: float) -> HttpReply:
-        found = await self._ask_state(job_id)
+        found = await self._find_state(job_id)
         if isinstance(found, Failure):
             return reply_failure(found)
         result = await self._records.create(CANCELS + job_id, b"1", until=until)
@@ -197,13 +201,13 @@
         await self._node.announce_now(AnnounceCancel(job_id=job_id))
         return reply_json({})
 
-    async def _show(self, job_id: str) -> HttpReply:
-        state = await self._ask_state(job_id)
+    async def _report_state(self, job_id: str) -> HttpReply:
+        state = await self._find_state(job_id)
         if isinstance(state, Failure):
             return reply_failure(state)
         return reply_json({"state": state.value})
 
-    async def _ask_state(self, job_id: str) -> JobState | Failure:
+    async def _find_state(self, job_id: str) -> JobState | Failure:
         known = self._outcomes.get(job_id)
         if known is not None:
             return known
@@ -221,7 +225,7 @@
                 return found
             state = found
         if state in TERMINAL:
-            if len(self._outcomes) >= MOST_CACHED:
+            if len(self._outcomes) >= MAX_CACHED_OUTCOMES:
                 self._outcomes.clear()
             self._outcomes[job_id] = state
         return state
@@ -262,5 +266,5 @@
 
 
 async def _answer_call(app: Any, call: HttpCall) -> HttpReply:
-    intake: Intake = app.intake
-    return await intake.answer(call)
+    client_api: ClientApi = app.client_api
+    return await client_api.answer(call)
--- a/src/firladder/_internal/node/configuration.py
+++ b/src/firladder/_internal/node/configuration.py
@@ -12,11 +12,11 @@
 
 logger = logging.getLogger(__name__)
 
-STORE = "store"
+STORE_SOURCE = "store"
 """The source of a configuration that the store sent; others are peers' IP numbers."""
 
 
-class ConfigurationStore:
+class ConfigurationCache:
     """The newest configuration that this process has seen from anywhere."""
 
     def __init__(self) -> None:
@@ -24,8 +24,8 @@
         self.current = QueueConfiguration(0)
         self.raw = b""
         self.source = ""
-        self.former_version = 0
-        self.heard_version = 0
+        self.previous_version = 0
+        self.newest_known_version = 0
         self.received_bytes: Counter[str] = Counter()
         self.listeners: list[Callable[[], None]] = []
         self._packed = (0, b"")
@@ -37,19 +37,19 @@
         """Return the version in force; 0 for none."""
         return self.current.version
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take what the operators' prefix holds."""
         for item in listing.items:
-            self._take_item(item.key, item.value)
+            self._apply_item(item.key, item.value)
 
-    def take_change(self, change: Change) -> None:
+    def apply_change(self, change: Change) -> None:
         """Take a change below the operators' prefix."""
         if change.value is not None:
-            self._take_item(change.key, change.value)
+            self._apply_item(change.key, change.value)
 
-    def _take_item(self, key: str, value: bytes) -> None:
+    def _apply_item(self, key: str, value: bytes) -> None:
         if key == CONFIGURATION_KEY:
-            self.offer(value, source=STORE)
+            self.offer(value, source=STORE_SOURCE)
 
     def offer(self, value: bytes, *, source: str) -> bool:
         """Adopt a configuration if it is newer; tell whether it was.
@@ -58,17 +58,19 @@
         may hear of an older one from a peer that was cut off: taking it would
         bring back queues and keys that were removed.
         """
-        self.received_bytes[STORE if source == STORE else "peer"] += len(value)
+        self.received_bytes[STORE_SOURCE if source == STORE_SOURCE else "peer"] += len(
+            value
+        )
         if value == self.raw:
             return False
         fresh = decode_configuration(value)
         if isinstance(fresh, MalformedBody):
             logger.warning("configuration from %s left out: %s", source, fresh.reason)
             return False
-        self.hear(fresh.version)
+        self.record_version(fresh.version)
         if fresh.version <= self.version:
             return False
-        self.former_version = self.version
+        self.previous_version = self.version
         self.current, self.raw, self.source = fresh, value, source
         self._index()
         for listener in self.listeners:
@@ -81,9 +83,9 @@
             self._packed = (self.version, pack_bytes(self.raw))
         return self._packed[1]
 
-    def hear(self, version: int) -> None:
+    def record_version(self, version: int) -> None:
         """Note that ``version`` exists, whether this node has it or not."""
-        self.heard_version = max(self.heard_version, version)
+        self.newest_known_version = max(self.newest_known_version, version)
 
     def _index(self) -> None:
         self._by_host = {}
--- a/src/firladder/_internal/node/daemon.py
+++ b/src/firladder/_internal/node/daemon.py
@@ -22,51 +22,51 @@
 from ..utils.files import WatchedFile
 from ..utils.tasks import TaskSet
 from ..utils.tokens import mint_incarnation
-from .answers import PeerAnswers, take_announcement
-from .configuration import ConfigurationStore
+from .client_api import ClientApi
+from .configuration import ConfigurationCache
 from .election import (
     Campaign,
     Leadership,
     decode_leader,
-    measure_standing,
+    measure_fitness,
 )
 from .fleet import Fleet
 from .handover import LeadershipHandover
-from .intake import Intake
 from .keys import LEADER
 from .metrics import NodeMetrics
 from .operations import METRICS, READY
-from .partition import Isolation
+from .partition import PartitionDetector
+from .peer_handlers import PeerHandlers, apply_announcement
+from .prefix_watch import PrefixWatch
 from .records import Records
-from .term import LOAD_S, Term
-from .watching import PrefixWatch
+from .term import LOAD_TIMEOUT_S, Term
 
 logger = logging.getLogger(__name__)
 
 ANNOUNCE_TIMEOUT_S = 0.3
 """Seconds for the leader to take an announcement; its watch is the backstop."""
 
-UNREADY_S = 2.6
+UNREADY_PERIOD_S = 2.6
 """Seconds between saying 'not ready' and closing the listener at a stop: the
 balancer asks once a second and believes the second refusal."""
 
-LAST_CALLS_S = 1.5
+OPEN_CALLS_TIMEOUT_S = 1.5
 """Seconds for the calls that are open when the listener closes."""
 
-LAST_ANSWERS_S = 0.8
+FINAL_CALLS_TIMEOUT_S = 0.8
 """Seconds for the calls that are still open when all other connections are closed; the
 platform kills the process a second later."""
 
 CAMPAIGN_PAUSE_S = 0.25
 """Seconds between two tries to become leader while nobody leads."""
 
-GIVE_WAY_S = 1.0
+SLOW_LOAD_PAUSE_S = 1.0
 """The same after a term in which the records were not read in time."""
 
-WORKER_CONNECTIONS = 4
+MAX_WORKER_CONNECTIONS = 4
 """Connections to a worker at most: a look that waits, a quick one, and orders."""
 
-STORE_CONNECTIONS = 16
+MAX_STORE_CONNECTIONS = 16
 """Connections to the store at most: some watches that wait, and calls for callers."""
 
 
@@ -90,33 +90,33 @@
             domain=self.settings.failure_domain,
             capacity=512,
         )
-        self.life = ChartInstance(load_chart("process"))
+        self.lifecycle = ChartInstance(load_chart("process"))
         self.leaving = False
         self._closing = False
         self.term: Term | None = None
         self.metrics = NodeMetrics()
         self.calls: Counter[tuple[str, int]] = Counter()
         self._tasks = TaskSet()
-        self._load_s = LOAD_S
+        self._load_timeout_s = LOAD_TIMEOUT_S
         self._stopping = asyncio.Event()
-        self._leader_gone = asyncio.Event()
+        self._leader_missing = asyncio.Event()
         self._worker_http = HttpClient(
-            per_host=WORKER_CONNECTIONS, source_ip=self.settings.ip
+            per_host=MAX_WORKER_CONNECTIONS, source_ip=self.settings.ip
         )
         self.store = PlatformStore(
             address=self.settings.store_address,
-            http=HttpClient(per_host=STORE_CONNECTIONS, source_ip=self.settings.ip),
+            http=HttpClient(per_host=MAX_STORE_CONNECTIONS, source_ip=self.settings.ip),
             clock=self.clock,
         )
-        self.store.on_state = self._note_store
+        self.store.on_state = self._record_store_state
         self.fabric = Fabric(
             address=f"{self.settings.ip}:{self.settings.peer_port}",
             sender=f"{self.settings.vm}/{self.incarnation}",
             logical=self.logical,
         )
-        self.configuration = ConfigurationStore()
-        self.configuration.listeners.append(self._note_configuration)
-        self._standing = measure_standing(
+        self.configuration = ConfigurationCache()
+        self.configuration.listeners.append(self._on_configuration_adopted)
+        self._fitness = measure_fitness(
             processor_cores=self.settings.processor_cores,
             link_mbps=self.settings.link_mbps,
         )
@@ -131,15 +131,15 @@
             rng=self.rng,
             timeline=self.timeline,
             reaches_store=lambda: self.store.reachable,
-            standing=self._standing,
+            fitness=self._fitness,
         )
-        self._hand_over = LeadershipHandover(
-            own=self._standing,
-            list_able=self.fleet.list_standings,
+        self._handover = LeadershipHandover(
+            own=self._fitness,
+            list_candidates=self.fleet.list_fitness,
             reaches_store=lambda: self.store.reachable,
         )
-        self.fleet.on_leader.append(self._note_leader)
-        self.isolation = Isolation(
+        self.fleet.on_leader.append(self._on_leader_known)
+        self.partition_detector = PartitionDetector(
             fleet=self.fleet,
             store=self.store,
             clock=self.clock,
@@ -149,27 +149,29 @@
             store=self.store,
             fleet=self.fleet,
             clock=self.clock,
-            isolation=self.isolation,
+            partition_detector=self.partition_detector,
         )
-        self._configuration_watch = self._watch(
+        self._configuration_watch = self._make_watch(
             CONFIGURATION_PREFIX,
-            self.configuration.take_listing,
-            self.configuration.take_change,
+            self.configuration.apply_listing,
+            self.configuration.apply_change,
             newest_only=True,
         )
         self.watches = (
             self._configuration_watch,
-            self._watch(LEADER, self._list_leader, self._change_leader),
+            self._make_watch(
+                LEADER, self._apply_leader_listing, self._apply_leader_change
+            ),
         )
-        self.intake = Intake(self, self.records)
-        self._front = HttpServer(self, self.intake)
-        self._ready = HttpServer(self, READY)
-        self._metrics = HttpServer(self, METRICS)
-        PeerAnswers(self).register()
+        self.client_api = ClientApi(self, self.records)
+        self._client_server = HttpServer(self, self.client_api)
+        self._ready_server = HttpServer(self, READY)
+        self._metrics_server = HttpServer(self, METRICS)
+        PeerHandlers(self).register()
 
     async def run(self) -> None:
         """Serve until told to stop, then leave gracefully."""
-        self._obey_signals()
+        self._install_signal_handlers()
         self.timeline.record(
             Event.NODE_STARTED,
             incarnation=self.incarnation,
@@ -177,41 +179,41 @@
             store=self.settings.store_address,
         )
         self.fabric.start()
-        self._metrics.listen(self.settings.metrics_address)
-        self._ready.listen(self.settings.ready_address)
-        self._front.listen(self.settings.clients_address)
+        self._metrics_server.listen(self.settings.metrics_address)
+        self._ready_server.listen(self.settings.ready_address)
+        self._client_server.listen(self.settings.clients_address)
         self.fleet.start()
         for watch in self.watches:
             self._tasks.spawn(watch.run(), name=f"watch-{watch.prefix}")
-        self._tasks.spawn(self.isolation.run(), name="isolation")
+        self._tasks.spawn(self.partition_detector.run(), name="isolation")
         self._tasks.spawn(self._lead_forever(), name="lead")
         reading = self._settings_file.call_on_change(self._reload_settings)
         self._tasks.spawn(reading, name="settings")
-        self.life.fire("ready")
+        self.lifecycle.fire("ready")
         await self._stopping.wait()
         await self._leave()
 
     async def _leave(self) -> None:
         self.leaving = True
-        self.life.fire("drain")
+        self.lifecycle.fire("drain")
         self.timeline.record(Event.NODE_STOPPING, leads=self.term is not None)
         if self.term is not None:
             await self.term.close()
-        await asyncio.sleep(UNREADY_S)
+        await asyncio.sleep(UNREADY_PERIOD_S)
         self._closing = True
-        await self._front.stop_listening()
-        await asyncio.sleep(LAST_CALLS_S)
-        await self._front.finish(within_s=LAST_ANSWERS_S)
-        self.life.fire("stop")
+        await self._client_server.stop_listening()
+        await asyncio.sleep(OPEN_CALLS_TIMEOUT_S)
+        await self._client_server.finish(within_s=FINAL_CALLS_TIMEOUT_S)
+        self.lifecycle.fire("stop")
         self.timeline.record(Event.NODE_STOPPED)
         await self._tasks.close()
         await self.fleet.close()
-        await self._front.close()
-        await self._ready.close()
-        await self._metrics.close()
+        await self._client_server.close()
+        await self._ready_server.close()
+        await self._metrics_server.close()
         await self.fabric.close()
 
-    def _obey_signals(self) -> None:
+    def _install_signal_handlers(self) -> None:
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stopping.set)
@@ -233,7 +235,7 @@
 
     # -- what the store says ------------------------------------------------------
 
-    def _watch(
+    def _make_watch(
         self,
         prefix: str,
         on_listing: Callable[[Listing], None],
@@ -262,11 +264,11 @@
             return None
         return self.clock.read_monotonic() - answered_at
 
-    def _note_configuration(self) -> None:
+    def _on_configuration_adopted(self) -> None:
         self.timeline.record(
             Event.QUEUES_ADOPTED,
             version=self.configuration.version,
-            former=self.configuration.former_version,
+            former=self.configuration.previous_version,
             source=self.configuration.source,
             bytes=len(self.configuration.raw),
         )
@@ -274,37 +276,37 @@
         if self.term is not None:
             self.term.adopt_configuration(self.configuration.current)
 
-    def _note_store(self, reachable: bool, reason: str) -> None:
+    def _record_store_state(self, reachable: bool, reason: str) -> None:
         event = Event.STORE_FOUND if reachable else Event.STORE_LOST
         self.timeline.record(event, reason=reason)
 
-    def _list_leader(self, listing: Listing) -> None:
+    def _apply_leader_listing(self, listing: Listing) -> None:
         held = [item for item in listing.items if item.key == LEADER]
         if not held:
-            self._lose_leader()
+            self._on_leader_missing()
         for item in held:
-            self._take_leader(item.value, item.revision)
+            self._apply_leader_record(item.value, item.revision)
 
-    def _change_leader(self, change: Change) -> None:
+    def _apply_leader_change(self, change: Change) -> None:
         if change.key != LEADER:
             return
         if change.value is None:
-            self._lose_leader()
+            self._on_leader_missing()
         else:
-            self._take_leader(change.value, change.revision)
+            self._apply_leader_record(change.value, change.revision)
 
-    def _take_leader(self, value: bytes, revision: int) -> None:
+    def _apply_leader_record(self, value: bytes, revision: int) -> None:
         record = decode_leader(value)
         if record is not None:
-            self._leader_gone.clear()
-            self.fleet.note_leader(record.ip, revision)
+            self._leader_missing.clear()
+            self.fleet.record_leader(record.ip, revision)
 
-    def _lose_leader(self) -> None:
+    def _on_leader_missing(self) -> None:
         if self.term is None:
             self.fleet.forget_leader(self.fleet.leader_token)
-        self._leader_gone.set()
+        self._leader_missing.set()
 
-    def _note_leader(self) -> None:
+    def _on_leader_known(self) -> None:
         self.timeline.record(
             Event.LEADER_KNOWN, ip=self.fleet.leader_ip, token=self.fleet.leader_token
         )
@@ -321,19 +323,21 @@
             incarnation=self.incarnation,
             clock=self.clock,
             rng=self.rng,
-            delay_s=self._standing.delay_s,
+            delay_s=self._fitness.delay_s,
         )
         while not self.leaving:
-            await self._leader_gone.wait()
+            await self._leader_missing.wait()
             if self.leaving:
                 return
             won = await campaign.try_once()
             if isinstance(won, Leadership):
                 await self._serve_term(won)
             elif isinstance(won, Item):
-                self._take_leader(won.value, won.revision)
+                self._apply_leader_record(won.value, won.revision)
             await asyncio.sleep(
-                CAMPAIGN_PAUSE_S if self._load_s == LOAD_S else GIVE_WAY_S
+                CAMPAIGN_PAUSE_S
+                if self._load_timeout_s == LOAD_TIMEOUT_S
+                else SLOW_LOAD_PAUSE_S
             )
 
     async def _serve_term(self, leadership: Leadership) -> None:
@@ -346,13 +350,13 @@
             rng=self.rng,
             timeline=self.timeline,
             on_order=self.metrics.observe_order,
-            load_s=self._load_s,
+            load_timeout_s=self._load_timeout_s,
         )
         self.term = term
         self.timeline.record(Event.TERM_BEGUN, token=leadership.token)
-        self.fleet.note_leader(self.settings.ip, leadership.token)
+        self.fleet.record_leader(self.settings.ip, leadership.token)
         term.adopt_configuration(self.configuration.current)
-        due = self._tasks.spawn(self._give_way(term), name="hand-over")
+        due = self._tasks.spawn(self._hand_over_when_due(term), name="hand-over")
         reason = await term.run()
         self.term = None
         if due.done():
@@ -360,12 +364,14 @@
         else:
             due.cancel()
         # Where no other node takes over, this one must have the time it needs.
-        self._load_s = 2 * self._load_s if term.too_slow else LOAD_S
+        self._load_timeout_s = (
+            2 * self._load_timeout_s if term.load_timed_out else LOAD_TIMEOUT_S
+        )
         self.fleet.forget_leader(leadership.token)
         self.timeline.record(Event.TERM_ENDED, token=leadership.token, reason=reason)
 
-    async def _give_way(self, term: Term) -> None:
-        await self._hand_over.wait_until_due()
+    async def _hand_over_when_due(self, term: Term) -> None:
+        await self._handover.wait_until_due()
         term.step_down("a VM with a larger link can lead")
 
     def announce(self, body: AnyBody) -> None:
@@ -375,7 +381,7 @@
     async def announce_now(self, body: AnyBody) -> None:
         """Tell the leader; if that fails, it hears of it by its own watch."""
         if self.term is not None and self.term.ready:
-            take_announcement(self.term, body)
+            apply_announcement(self.term, body)
             return
         await self.fleet.ask_leader(body, timeout_s=ANNOUNCE_TIMEOUT_S)
 
@@ -385,14 +391,14 @@
     def ready(self) -> bool:
         """Tell whether new connections shall come here."""
         known = bool(self.configuration.version)
-        return known and not self.leaving and not self.isolation.cut_off
+        return known and not self.leaving and not self.partition_detector.partitioned
 
     @property
     def draining(self) -> bool:
         """Tell whether callers shall open their next connection elsewhere."""
-        return self._closing or self.isolation.cut_off
+        return self._closing or self.partition_detector.partitioned
 
-    def note_call(self, method: str, status: int, spent_s: float) -> None:
+    def record_call(self, method: str, status: int, spent_s: float) -> None:
         """Count an answered call."""
         self.calls[method, status] += 1
         self.metrics.observe(method, status, spent_s)
--- a/src/firladder/_internal/node/distribution.py
+++ b/src/firladder/_internal/node/distribution.py
@@ -20,9 +20,9 @@
 from ..utils.events import Event, Timeline
 from ..utils.packing import unpack_bytes
 from ..utils.tasks import TaskSet
-from .configuration import ConfigurationStore
+from .configuration import ConfigurationCache
 
-ADVERTS = 3
+ADVERT_FANOUT = 3
 """Peers told of a version by each node that adopts it. With two thirds of a fleet
 telling three each, some seven in eight of the others hear of it at once; the rest hear
 with the next greetings."""
@@ -30,18 +30,18 @@
 ADVERT_TIMEOUT_S = 0.4
 """Seconds for the receipt of an advert; nodes are about a millisecond apart."""
 
-CATCH_UP_S = 0.1
+CATCH_UP_DELAY_S = 0.1
 """Seconds for which a node that hears of a newer version waits for its own watch to
 bring it: nearly all have it by then, and need not be sent it by a peer."""
 
 FETCH_TIMEOUT_S = 0.5
 """Seconds for the first peer that is asked; a packed megabyte takes 0.2 s at 5 Mbit/s.
-Each further peer is given twice as long, up to ``MOST_FETCH_TIMEOUT_S``: a limit that
+Each further peer is given twice as long, up to ``MAX_FETCH_TIMEOUT_S``: a limit that
 is too short for the link would be too short again."""
 
-MOST_FETCH_TIMEOUT_S = 4.0
+MAX_FETCH_TIMEOUT_S = 4.0
 
-MOST_CONFIGURATION_BYTES = 4 * 1024 * 1024
+MAX_CONFIGURATION_BYTES = 4 * 1024 * 1024
 """Bytes of a configuration from a peer; the store holds values of a megabyte."""
 
 
@@ -63,7 +63,7 @@
         ip: str,
         ask: Ask,
         list_peers: Callable[[], list[str]],
-        configuration: ConfigurationStore,
+        configuration: ConfigurationCache,
         rng: random.Random,
         timeline: Timeline,
         tasks: TaskSet,
@@ -88,25 +88,25 @@
         """
         peers = self._list_peers()
         body = AdvertiseConfiguration(ip=self._ip, version=self._configuration.version)
-        for ip in self._rng.sample(peers, min(len(peers), ADVERTS)):
+        for ip in self._rng.sample(peers, min(len(peers), ADVERT_FANOUT)):
             self._tasks.spawn(
                 self._ask(ip, body, timeout_s=ADVERT_TIMEOUT_S), name="advertise"
             )
 
-    async def take_advert(self, message: AdvertiseConfiguration) -> AnyBody:
+    async def handle_advert(self, message: AdvertiseConfiguration) -> AnyBody:
         """Hear of the version that a peer has adopted."""
-        self.hear(message.ip, message.version)
+        self.record_version(message.ip, message.version)
         return Received()
 
-    async def answer_fetch(self, message: FetchQueues) -> AnyBody:
+    async def handle_fetch(self, message: FetchQueues) -> AnyBody:
         """Return the configuration if it is newer than the asker's."""
         if self._configuration.version <= message.newer_than:
             return QueuesReply()
         return QueuesReply(packed=self._configuration.pack())
 
-    def hear(self, ip: str, version: int) -> None:
+    def record_version(self, ip: str, version: int) -> None:
         """Note that the node at ``ip`` has ``version``, and get it if it is newer."""
-        self._configuration.hear(version)
+        self._configuration.record_version(version)
         if version <= self._configuration.version:
             return
         self._holders[ip] = version
@@ -117,11 +117,11 @@
     async def _catch_up(self) -> None:
         try:
             if self._configuration.version:
-                await asyncio.sleep(CATCH_UP_S * self._rng.uniform(0.8, 1.2))
+                await asyncio.sleep(CATCH_UP_DELAY_S * self._rng.uniform(0.8, 1.2))
             timeout_s = FETCH_TIMEOUT_S
             while (ip := self._choose_holder()) is not None:
                 await self._fetch(ip, timeout_s=timeout_s)
-                timeout_s = min(2 * timeout_s, MOST_FETCH_TIMEOUT_S)
+                timeout_s = min(2 * timeout_s, MAX_FETCH_TIMEOUT_S)
         finally:
             self._catching_up = False
 
@@ -138,7 +138,7 @@
         heard = self._holders.pop(ip)
         own = self._configuration.version
         reply = await self._ask(ip, FetchQueues(newer_than=own), timeout_s=timeout_s)
-        reason = self._take_reply(ip, reply)
+        reason = self._apply_reply(ip, reply)
         if self._configuration.version < heard:
             self._timeline.record(
                 Event.CONFIGURATION_MISSED,
@@ -149,13 +149,13 @@
                 reason=reason,
             )
 
-    def _take_reply(self, ip: str, reply: AnyBody | PeerUnreachable) -> str:
+    def _apply_reply(self, ip: str, reply: AnyBody | PeerUnreachable) -> str:
         """Offer what came; return why nothing could be offered."""
         if isinstance(reply, PeerUnreachable):
             return reply.reason
         if not isinstance(reply, QueuesReply) or not reply.packed:
             return "the peer has none that is newer"
-        value = unpack_bytes(reply.packed, most_bytes=MOST_CONFIGURATION_BYTES)
+        value = unpack_bytes(reply.packed, most_bytes=MAX_CONFIGURATION_BYTES)
         if isinstance(value, MalformedBody):
             return value.reason
         self._configuration.offer(value, source=ip)
--- a/src/firladder/_internal/node/election.py
+++ b/src/firladder/_internal/node/election.py
@@ -18,13 +18,13 @@
 """Seconds until the leader's key goes when it is not renewed: what a crash costs
 before a successor acts. The store takes no less than one second."""
 
-RENEW_S = 0.45
+RENEWAL_INTERVAL_S = 0.45
 """Seconds between renewals: three may fail before the lease ends."""
 
 RENEW_TIMEOUT_S = 0.7
 """Seconds for a renewal's answer; a slow store takes a quarter of a second."""
 
-JITTER_S = 0.06
+MAX_JITTER_S = 0.06
 """Seconds over which candidates spread: the first usually wins before the others
 have spent calls on it."""
 
@@ -35,13 +35,13 @@
 SMALL_PROCESSOR_CORES = 0.8
 """Below it a VM is slow to schedule for some two hundred workers."""
 
-SMALL_DELAY_S = 0.25
+SMALL_VM_DELAY_S = 0.25
 """Seconds for which a small VM lets others go first, for each of the two: longer
 than their jitter and their calls, shorter than what callers would notice."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
+class LeaderFitness:
     """How well a VM can lead: its link, and the delay of its campaigns in seconds."""
 
     link_mbps: float = 0.0
@@ -52,7 +52,7 @@
         """Tell whether its link is too small for the orders of a busy fleet."""
         return self.link_mbps < SMALL_LINK_MBPS
 
-    def yields_to(self, other: "Standing") -> bool:
+    def yields_to(self, other: "LeaderFitness") -> bool:
         """Tell whether a leader of this standing gives way to the other VM.
 
         Among VMs with small links nothing is gained that is worth a hand-over.
@@ -68,15 +68,15 @@
     so that nothing is scheduled although somebody leads.
     """
     small = (link_mbps < SMALL_LINK_MBPS) + (processor_cores < SMALL_PROCESSOR_CORES)
-    return small * SMALL_DELAY_S
+    return small * SMALL_VM_DELAY_S
 
 
-def measure_standing(*, processor_cores: float, link_mbps: float) -> Standing:
+def measure_fitness(*, processor_cores: float, link_mbps: float) -> LeaderFitness:
     """Return how well a VM of this size can lead."""
     delay_s = choose_campaign_delay(
         processor_cores=processor_cores, link_mbps=link_mbps
     )
-    return Standing(link_mbps, delay_s)
+    return LeaderFitness(link_mbps, delay_s)
 
 
 class LeaderRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -107,9 +107,9 @@
         self._clock = clock
         self.lease = lease
         self.token = token
-        self.proved_until = now + LEASE_S
+        self.lease_valid_until = now + LEASE_S
 
-    async def keep(self) -> LeaseEnded:
+    async def renew(self) -> LeaseEnded:
         """Renew the lease until it has ended."""
         while True:
             sent_at = self._clock.read_monotonic()
@@ -121,9 +121,9 @@
             if answer is None:
                 # Counted from before the call: the store counts from its
                 # arrival, which is later.
-                self.proved_until = sent_at + LEASE_S
+                self.lease_valid_until = sent_at + LEASE_S
             spent = self._clock.read_monotonic() - sent_at
-            await asyncio.sleep(max(0.05, RENEW_S - spent))
+            await asyncio.sleep(max(0.05, RENEWAL_INTERVAL_S - spent))
 
     async def resign(self) -> None:
         """Let the key go, so that a successor need not wait for the lease."""
@@ -155,10 +155,10 @@
 
     async def try_once(self) -> Leadership | Item | None:
         """Return the leadership, or the key of who has it, or None for neither."""
-        await asyncio.sleep(self._delay_s + self._rng.uniform(0, JITTER_S))
+        await asyncio.sleep(self._delay_s + self._rng.uniform(0, MAX_JITTER_S))
         held = await self._store.read_item(LEADER)
         if isinstance(held, Item):
-            return await self._judge(held)
+            return await self._check_holder(held)
         if isinstance(held, StoreUnavailable | StoreUncertain):
             return None
         started_at = self._clock.read_monotonic()
@@ -185,7 +185,7 @@
         # next look finds it there and gives it back.
         return None
 
-    async def _judge(self, held: Item) -> Item | None:
+    async def _check_holder(self, held: Item) -> Item | None:
         record = decode_leader(held.value)
         if record is None or record.incarnation != self._incarnation:
             return held
--- a/src/firladder/_internal/node/evacuations.py
+++ b/src/firladder/_internal/node/evacuations.py
@@ -19,20 +19,20 @@
         self._timeline = timeline
         self._on_change = on_change
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take all requests that stand."""
         domains = (decode_evacuated_domain(item.key) for item in listing.items)
-        self._set(frozenset(domains))
+        self._set_domains(frozenset(domains))
 
-    def take_change(self, change: Change) -> None:
+    def apply_change(self, change: Change) -> None:
         """Take one request, or the end of one."""
         domain = frozenset((decode_evacuated_domain(change.key),))
         if change.value is None:
-            self._set(self._core.evacuated - domain)
+            self._set_domains(self._core.evacuated - domain)
         else:
-            self._set(self._core.evacuated | domain)
+            self._set_domains(self._core.evacuated | domain)
 
-    def _set(self, domains: frozenset[str]) -> None:
+    def _set_domains(self, domains: frozenset[str]) -> None:
         for domain in sorted(domains - self._core.evacuated):
             self._timeline.record(Event.DOMAIN_EVACUATED, evacuated=domain)
         for domain in sorted(self._core.evacuated - domains):
--- a/src/firladder/_internal/node/fleet.py
+++ b/src/firladder/_internal/node/fleet.py
@@ -21,9 +21,9 @@
 from ..utils.clocks import Clock
 from ..utils.events import Timeline
 from ..utils.tasks import TaskSet
-from .configuration import ConfigurationStore
+from .configuration import ConfigurationCache
 from .distribution import Distribution
-from .election import Standing
+from .election import LeaderFitness
 
 logger = logging.getLogger(__name__)
 
@@ -35,25 +35,25 @@
 GREET_TIMEOUT_S = 0.4
 """Seconds for the answer; nodes are about a millisecond apart."""
 
-HELPER_FRESH_S = 3.0
+HELPER_MAX_AGE_S = 3.0
 """Seconds for which a peer that said so counts as one that reaches the store: some
 rounds of greetings. A peer that is gone for good would else be asked for ever: each
 question takes its whole time-out, and what became of it is not known."""
 
-PARTNER_S = 5.0
+PARTNER_PERIOD_S = 5.0
 """Seconds for which the same peer is greeted before another is drawn. Each peer greeted
 is a connection with signs of life of its own: drawn anew each time, a node of a large
 fleet has one to every other, and these cost more than all that it does for callers."""
 
-SETTLE_S = 10.0
+DISCOVERY_PERIOD_S = 10.0
 """Seconds after the start in which each round draws anew: a node must first learn who
 is in which failure domain. One that knows a single other domain takes itself for cut
 off when that one is."""
 
-FORGET_S = 20.0
+PEER_EXPIRY_S = 20.0
 """Seconds of silence after which a peer is no longer greeted."""
 
-MOST_PEERS = 16
+MAX_PEERS_IN_REPLY = 16
 """Peers named in one answer, drawn anew for each: an answer stays small, and a newcomer
 that greets some nodes a round knows a fleet of a hundred within seconds."""
 
@@ -69,38 +69,38 @@
         port: int,
         seeds: tuple[str, ...],
         fabric: Fabric,
-        configuration: ConfigurationStore,
+        configuration: ConfigurationCache,
         clock: Clock,
         rng: random.Random,
         timeline: Timeline,
         reaches_store: Callable[[], bool],
-        standing: Standing | None = None,
+        fitness: LeaderFitness | None = None,
     ) -> None:
-        """Know ``seeds`` (IP numbers) to begin with; greet as a VM of ``standing``."""
-        self._standing = standing or Standing()
-        self._standings: dict[str, Standing] = {}
+        """Know ``seeds`` (IP numbers) to begin with; greet as a VM of ``fitness``."""
+        self._fitness = fitness or LeaderFitness()
+        self._fitness_by_ip: dict[str, LeaderFitness] = {}
         self._reaches_store = reaches_store
-        self._store_reached: dict[str, float] = {}
+        self._store_reached_at: dict[str, float] = {}
         self._ip = ip
         self._failure_domain = failure_domain
         self._domains: dict[str, str] = {}
-        self._others_answered_at: float | None = None
+        self._other_domain_answered_at: float | None = None
         self._port = port
         self._fabric = fabric
         self._configuration = configuration
         self._clock = clock
         self._rng = rng
         self._tasks = TaskSet()
-        self._heard: dict[str, float] = {}
+        self._last_heard_at: dict[str, float] = {}
         self._seeds = tuple(s for s in seeds if s != ip)
         self.leader_ip = ""
         self.leader_token = 0
         self.on_leader: list[Callable[[], None]] = []
-        fabric.handle(GreetNode, self._answer_greeting)
+        fabric.handle(GreetNode, self._handle_greeting)
         self._partner = ""
         self._partner_until = 0.0
-        self._settled_at = clock.read_monotonic() + SETTLE_S
-        self._witnesses: dict[str, str] = {}
+        self._discovery_until = clock.read_monotonic() + DISCOVERY_PERIOD_S
+        self._domain_contacts: dict[str, str] = {}
         self.distribution = Distribution(
             ip=ip,
             ask=self.ask,
@@ -110,8 +110,8 @@
             timeline=timeline,
             tasks=self._tasks,
         )
-        fabric.handle(AdvertiseConfiguration, self.distribution.take_advert)
-        fabric.handle(FetchQueues, self.distribution.answer_fetch)
+        fabric.handle(AdvertiseConfiguration, self.distribution.handle_advert)
+        fabric.handle(FetchQueues, self.distribution.handle_fetch)
 
     @property
     def leads(self) -> bool:
@@ -121,14 +121,16 @@
     def list_peers(self) -> list[str]:
         """Return the IP numbers of all nodes that may be alive."""
         now = self._clock.read_monotonic()
-        for ip in [ip for ip, at in self._heard.items() if now - at > FORGET_S]:
-            del self._heard[ip]
+        for ip in [
+            ip for ip, at in self._last_heard_at.items() if now - at > PEER_EXPIRY_S
+        ]:
+            del self._last_heard_at[ip]
             self._domains.pop(ip, None)
-            self._standings.pop(ip, None)
-            self._store_reached.pop(ip, None)
-        return sorted({*self._heard, *self._seeds})
+            self._fitness_by_ip.pop(ip, None)
+            self._store_reached_at.pop(ip, None)
+        return sorted({*self._last_heard_at, *self._seeds})
 
-    def _list_others(self) -> list[str]:
+    def _list_peers_of_other_domains(self) -> list[str]:
         """Return the peers that are known to be in other failure domains."""
         return [
             ip
@@ -136,7 +138,7 @@
             if self._domains.get(ip, self._failure_domain) != self._failure_domain
         ]
 
-    def _choose_witnesses(self, chosen: Collection[str]) -> list[str]:
+    def _choose_domain_contacts(self, chosen: Collection[str]) -> list[str]:
         """Return whom to greet to learn whether other failure domains answer.
 
         Nodes of one's own domain answer also when the domain is cut off. One of each
@@ -144,13 +146,13 @@
         stays the same one as long as it answers.
         """
         by_domain: dict[str, list[str]] = {}
-        for ip in self._list_others():
+        for ip in self._list_peers_of_other_domains():
             by_domain.setdefault(self._domains[ip], []).append(ip)
         for domain, ips in by_domain.items():
-            if self._witnesses.get(domain) not in ips:
-                self._witnesses[domain] = self._rng.choice(ips)
+            if self._domain_contacts.get(domain) not in ips:
+                self._domain_contacts[domain] = self._rng.choice(ips)
         return [
-            self._witnesses[domain]
+            self._domain_contacts[domain]
             for domain, ips in by_domain.items()
             if not set(ips).intersection(chosen)
         ]
@@ -159,12 +161,16 @@
         now = self._clock.read_monotonic()
         if now >= self._partner_until or self._partner not in peers:
             self._partner = self._rng.choice(peers)
-            self._partner_until = now + PARTNER_S if now >= self._settled_at else now
+            self._partner_until = (
+                now + PARTNER_PERIOD_S if now >= self._discovery_until else now
+            )
         return self._partner
 
-    def _give_up_witness(self, ip: str) -> None:
+    def _replace_silent_peer(self, ip: str) -> None:
         """Let the next round greet others than a peer that did not answer."""
-        self._witnesses = {d: w for d, w in self._witnesses.items() if w != ip}
+        self._domain_contacts = {
+            d: w for d, w in self._domain_contacts.items() if w != ip
+        }
         if ip == self._partner:
             self._partner = ""
 
@@ -173,9 +179,9 @@
 
         In seconds; None if none ever has.
         """
-        if self._others_answered_at is None:
+        if self._other_domain_answered_at is None:
             return None
-        return self._clock.read_monotonic() - self._others_answered_at
+        return self._clock.read_monotonic() - self._other_domain_answered_at
 
     def find_store_helper(self) -> str | None:
         """Return a peer that lately reached the store, the leader first.
@@ -184,33 +190,35 @@
         messages that may be lost, and a caller that could be told "not stored"
         would have to be told "unknown".
         """
-        able = self._list_able()
-        if self.leader_ip in able:
+        helpers = self._list_peers_with_store()
+        if self.leader_ip in helpers:
             return self.leader_ip
-        return self._rng.choice(able) if able else None
+        return self._rng.choice(helpers) if helpers else None
 
-    def _list_able(self) -> list[str]:
+    def _list_peers_with_store(self) -> list[str]:
         """Return the peers that lately reached the store."""
-        since = self._clock.read_monotonic() - HELPER_FRESH_S
-        return [ip for ip, at in self._store_reached.items() if at >= since]
+        since = self._clock.read_monotonic() - HELPER_MAX_AGE_S
+        return [ip for ip, at in self._store_reached_at.items() if at >= since]
 
-    def list_standings(self) -> list[Standing]:
+    def list_fitness(self) -> list[LeaderFitness]:
         """Return how well the peers could lead that lately reached the store."""
         return [
-            self._standings[ip] for ip in self._list_able() if ip in self._standings
+            self._fitness_by_ip[ip]
+            for ip in self._list_peers_with_store()
+            if ip in self._fitness_by_ip
         ]
 
     def forget_store_helper(self, ip: str) -> None:
         """Ask a peer no more until it says again that it reaches the store."""
-        self._store_reached.pop(ip, None)
+        self._store_reached_at.pop(ip, None)
 
-    def _note_store(self, ip: str, *, reached: bool) -> None:
+    def _record_store_reach(self, ip: str, *, reached: bool) -> None:
         if reached:
-            self._store_reached[ip] = self._clock.read_monotonic()
+            self._store_reached_at[ip] = self._clock.read_monotonic()
         else:
             self.forget_store_helper(ip)
 
-    def note_leader(self, ip: str, token: int) -> None:
+    def record_leader(self, ip: str, token: int) -> None:
         """Take the leader with the highest token."""
         if token <= self.leader_token:
             return
@@ -256,7 +264,7 @@
         chosen = {self._choose_partner(peers)} if peers else set()
         if self.leader_ip and not self.leads:
             chosen.add(self.leader_ip)
-        chosen.update(self._choose_witnesses(chosen))
+        chosen.update(self._choose_domain_contacts(chosen))
         if not self._configuration.version:
             chosen.update(peers)
         for ip in chosen:
@@ -265,20 +273,20 @@
     async def _greet(self, ip: str) -> None:
         view = await self.ask(ip, self._describe(), timeout_s=GREET_TIMEOUT_S)
         if not isinstance(view, NodeView):
-            self._give_up_witness(ip)
+            self._replace_silent_peer(ip)
             return
         now = self._clock.read_monotonic()
-        self._heard[ip] = now
-        self._note_store(ip, reached=view.store_reachable)
+        self._last_heard_at[ip] = now
+        self._record_store_reach(ip, reached=view.store_reachable)
         self._domains[ip] = view.failure_domain
         if view.failure_domain != self._failure_domain:
-            self._others_answered_at = now
+            self._other_domain_answered_at = now
         for peer in view.peers:
             if peer != self._ip:
-                self._heard.setdefault(peer, now)
+                self._last_heard_at.setdefault(peer, now)
         if view.leader_ip:
-            self.note_leader(view.leader_ip, view.leader_token)
-        self.distribution.hear(ip, view.configuration_version)
+            self.record_leader(view.leader_ip, view.leader_token)
+        self.distribution.record_version(ip, view.configuration_version)
 
     def _describe(self) -> GreetNode:
         return GreetNode(
@@ -288,23 +296,23 @@
             leader_token=self.leader_token,
             store_reachable=self._reaches_store(),
             failure_domain=self._failure_domain,
-            link_mbps=self._standing.link_mbps,
-            campaign_delay_s=self._standing.delay_s,
+            link_mbps=self._fitness.link_mbps,
+            campaign_delay_s=self._fitness.delay_s,
         )
 
-    async def _answer_greeting(self, message: GreetNode) -> AnyBody:
-        self._heard[message.ip] = self._clock.read_monotonic()
-        self._note_store(message.ip, reached=message.store_reachable)
+    async def _handle_greeting(self, message: GreetNode) -> AnyBody:
+        self._last_heard_at[message.ip] = self._clock.read_monotonic()
+        self._record_store_reach(message.ip, reached=message.store_reachable)
         self._domains[message.ip] = message.failure_domain
-        self._standings[message.ip] = Standing(
+        self._fitness_by_ip[message.ip] = LeaderFitness(
             message.link_mbps, message.campaign_delay_s
         )
         if message.leader_ip:
-            self.note_leader(message.leader_ip, message.leader_token)
-        self.distribution.hear(message.ip, message.configuration_version)
+            self.record_leader(message.leader_ip, message.leader_token)
+        self.distribution.record_version(message.ip, message.configuration_version)
         peers = self.list_peers()
         return NodeView(
-            peers=tuple(self._rng.sample(peers, min(len(peers), MOST_PEERS))),
+            peers=tuple(self._rng.sample(peers, min(len(peers), MAX_PEERS_IN_REPLY))),
             leader_ip=self.leader_ip,
             leader_token=self.leader_token,
             configuration_version=self._configuration.version,
--- a/src/firladder/_internal/node/keys.py
+++ b/src/firladder/_internal/node/keys.py
@@ -3,11 +3,11 @@
 LEADER = "firladder/leader"
 """Who leads: an address, under a lease. Its revision is the fencing token."""
 
-INTAKE = "firladder/in/"
+SUBMISSIONS = "firladder/in/"
 """Records that any node creates: accepted jobs and cancellations."""
 
-JOBS = INTAKE + "j/"
-CANCELS = INTAKE + "c/"
+JOBS = SUBMISSIONS + "j/"
+CANCELS = SUBMISSIONS + "c/"
 
 PROGRESS = "firladder/run/"
 """Records that the leader alone writes: what became of each job."""
--- a/src/firladder/_internal/node/metrics.py
+++ b/src/firladder/_internal/node/metrics.py
@@ -65,7 +65,7 @@
         self.store = self._gauge(
             "firladder_store_made_calls_total", "Calls made to the platform's store"
         )
-        self.looks = self._gauge(
+        self.worker_calls = self._gauge(
             "firladder_worker_calls_total", "Calls made to workers in this term"
         )
         self.order_waits = Histogram(
@@ -103,7 +103,7 @@
         self.memory.set({}, usage.ru_maxrss * 1024)
         self.processor.set({}, usage.ru_utime + usage.ru_stime)
         self.version.set({}, node.configuration.version)
-        self.heard.set({}, node.configuration.heard_version)
+        self.heard.set({}, node.configuration.newest_known_version)
         confirmed_s = node.measure_confirmation_age()
         if confirmed_s is not None:
             self.confirmed.set({}, confirmed_s)
@@ -119,7 +119,7 @@
             return
         open_jobs = [j for j in term.core.jobs.values() if not j.terminal]
         self.jobs.set({}, len(open_jobs))
-        self.looks.set({}, term.calls.calls)
+        self.worker_calls.set({}, term.calls.calls)
         for domain in term.core.evacuated:
             count = sum(
                 len(w.placements)
--- a/src/firladder/_internal/node/operations.py
+++ b/src/firladder/_internal/node/operations.py
@@ -12,7 +12,7 @@
 
 
 @READY.route("GET", "/-/ready")
-async def tell_ready(node: "Node", call: HttpCall) -> HttpReply:
+async def report_readiness(node: "Node", call: HttpCall) -> HttpReply:
     """Tell the balancer whether to send new connections here."""
     ready = node.ready
     return reply_json({"ready": ready}, status=200 if ready else 503)
--- a/src/firladder/_internal/node/orders.py
+++ b/src/firladder/_internal/node/orders.py
@@ -36,7 +36,7 @@
         return "start" if self.start else "stop"
 
 
-def rank_order(placement: Placement, *, start: bool) -> Rank:
+def choose_rank(placement: Placement, *, start: bool) -> Rank:
     """Return when an order is sent: urgent work first, then what makes room."""
     if not start:
         return Rank.STOP
@@ -63,7 +63,7 @@
         """Return how many orders wait."""
         return self._orders.qsize()
 
-    def holds_start(self, placement: Placement) -> bool:
+    def has_unsent_start(self, placement: Placement) -> bool:
         """Tell whether a placement's start has not left yet."""
         return placement in self._unsent
 
@@ -79,17 +79,17 @@
             self._put(placement, now, start=False)
 
     def _put(self, placement: Placement, now: float, *, start: bool) -> None:
-        rank, number = rank_order(placement, start=start), next(self._numbers)
+        rank, number = choose_rank(placement, start=start), next(self._numbers)
         self._orders.put_nowait(Order(rank, number, placement, start, now))
 
     async def take(self) -> Order:
         """Wait for the next order."""
         return await self._orders.get()
 
-    def note_leaving(self, order: Order) -> None:
+    def mark_start_sent(self, order: Order) -> None:
         """Note that a start is sent now, or dropped."""
         self._unsent.discard(order.placement)
 
-    def note_answered(self, order: Order) -> None:
+    def mark_stop_answered(self, order: Order) -> None:
         """Note that a stop was answered or given up: it may be added again."""
         self._stopping.discard(order.placement)
--- a/src/firladder/_internal/node/partition.py
+++ b/src/firladder/_internal/node/partition.py
@@ -8,14 +8,14 @@
 from .fleet import Fleet
 from .keys import LEADER
 
-SILENT_S = 0.9
+SILENCE_LIMIT_S = 0.9
 """Seconds without an answer from any node of another failure domain after which this
 node doubts its way out: two greetings in a row, to different nodes."""
 
-LOOK_S = 0.2
+CHECK_INTERVAL_S = 0.2
 """Seconds between two looks at how long the others have been silent."""
 
-PROBE_PAUSE_S = 1.0
+PROBE_INTERVAL_S = 1.0
 """Seconds between two probes of a store that answers: where the other domains are away
 for good, each node goes on asking, and each call is priced."""
 
@@ -34,10 +34,10 @@
     """
     if others_silent_s is None or store_away_s <= 0:
         return False
-    return others_silent_s >= SILENT_S
+    return others_silent_s >= SILENCE_LIMIT_S
 
 
-class Isolation:
+class PartitionDetector:
     """Watches the ways out of this node."""
 
     def __init__(
@@ -48,34 +48,34 @@
         self._store = store
         self._clock = clock
         self._timeline = timeline
-        self._probed_at = -PROBE_PAUSE_S
-        self.cut_off = False
+        self._probed_at = -PROBE_INTERVAL_S
+        self.partitioned = False
 
     async def run(self) -> None:
         """Watch until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             if self._needs_probe():
                 # A node without callers asks the store little: without a probe it
                 # would learn only from the next caller that the store is away.
                 self._probed_at = self._clock.read_monotonic()
                 await self._store.read_item(LEADER, timeout_s=PROBE_TIMEOUT_S)
-            self._judge()
+            self._update()
 
     def _needs_probe(self) -> bool:
         silent_s = self._fleet.measure_silence()
-        if silent_s is None or silent_s < SILENT_S:
+        if silent_s is None or silent_s < SILENCE_LIMIT_S:
             return False
         since_s = self._clock.read_monotonic() - self._probed_at
-        return not self._store.reachable or since_s >= PROBE_PAUSE_S
+        return not self._store.reachable or since_s >= PROBE_INTERVAL_S
 
-    def _judge(self) -> None:
+    def _update(self) -> None:
         now = self._clock.read_monotonic()
         silent_s = self._fleet.measure_silence()
-        away_s = self._store.unreachable_s(now)
-        cut_off = is_partitioned(others_silent_s=silent_s, store_away_s=away_s)
-        if cut_off == self.cut_off:
+        outage_s = self._store.unreachable_s(now)
+        partitioned = is_partitioned(others_silent_s=silent_s, store_away_s=outage_s)
+        if partitioned == self.partitioned:
             return
-        self.cut_off = cut_off
-        event = Event.NODE_CUT_OFF if cut_off else Event.NODE_CONNECTED
-        self._timeline.record(event, others_silent_s=silent_s, store_away_s=away_s)
+        self.partitioned = partitioned
+        event = Event.NODE_CUT_OFF if partitioned else Event.NODE_CONNECTED
+        self._timeline.record(event, others_silent_s=silent_s, store_away_s=outage_s)
--- a/src/firladder/_internal/node/answers.py
+++ b/src/firladder/_internal/node/peer_handlers.py
@@ -25,7 +25,7 @@
 """Seconds for the store to take a peer's record; the peer waits 0.5 s for it."""
 
 
-def take_announcement(term: Term, body: AnyBody) -> None:
+def apply_announcement(term: Term, body: AnyBody) -> None:
     """Tell a term of a stored job or cancellation before its watch does."""
     if isinstance(body, AnnounceJob):
         term.add_record(body.record)
@@ -34,7 +34,7 @@
         term.request_pass()
 
 
-class PeerAnswers:
+class PeerHandlers:
     """The node's end of questions from its peers."""
 
     def __init__(self, node: "Node") -> None:
@@ -43,34 +43,34 @@
 
     def register(self) -> None:
         """Answer all messages that a leader or a helper is asked."""
-        self._node.fabric.handle(AnnounceJob, self._answer_announcement)
-        self._node.fabric.handle(AnnounceCancel, self._answer_announcement)
-        self._node.fabric.handle(AskJob, self._answer_job)
-        self._node.fabric.handle(AskPending, self._answer_pending)
-        self._node.fabric.handle(StoreRecord, self._answer_store)
+        self._node.fabric.handle(AnnounceJob, self._handle_announcement)
+        self._node.fabric.handle(AnnounceCancel, self._handle_announcement)
+        self._node.fabric.handle(AskJob, self._handle_job_query)
+        self._node.fabric.handle(AskPending, self._handle_pending_query)
+        self._node.fabric.handle(StoreRecord, self._handle_store_request)
 
     def _refuse(self) -> Refused:
         return Refused(failure=NotLeader(reason="this node does not lead"))
 
-    async def _answer_announcement(self, message: AnyBody) -> AnyBody:
+    async def _handle_announcement(self, message: AnyBody) -> AnyBody:
         if self._node.term is None or not self._node.term.ready:
             return self._refuse()
-        take_announcement(self._node.term, message)
+        apply_announcement(self._node.term, message)
         return Received()
 
-    async def _answer_job(self, message: AskJob) -> AnyBody:
+    async def _handle_job_query(self, message: AskJob) -> AnyBody:
         if self._node.term is None or not self._node.term.ready:
             return self._refuse()
         state = self._node.term.core.read_state(message.job_id)
         return JobReply(state=state.value if state is not None else "")
 
-    async def _answer_pending(self, message: AskPending) -> AnyBody:
+    async def _handle_pending_query(self, message: AskPending) -> AnyBody:
         if self._node.term is None or not self._node.term.ready:
             return self._refuse()
         return PendingReply(count=self._node.term.core.count_pending(message.queue))
 
-    async def _answer_store(self, message: StoreRecord) -> AnyBody:
-        outcome = await self._node.records.create_here(
+    async def _handle_store_request(self, message: StoreRecord) -> AnyBody:
+        outcome = await self._node.records.create_directly(
             message.key, message.value, timeout_s=HELP_TIMEOUT_S
         )
         return StoreOutcome(outcome=outcome)
--- a/src/firladder/_internal/node/watching.py
+++ b/src/firladder/_internal/node/prefix_watch.py
@@ -13,21 +13,21 @@
 
 logger = logging.getLogger(__name__)
 
-WAIT_S = 4.0
+WATCH_WAIT_S = 4.0
 """Seconds that one watch waits. A connection that has fallen silent is noticed
 when they are over; each wait is one priced call, so shorter ones cost more."""
 
 RETRY_S = 0.15
-"""Seconds until a failed call is made again; it doubles up to ``MOST_RETRY_S``."""
+"""Seconds until a failed call is made again; it doubles up to ``MAX_RETRY_S``."""
 
-MOST_RETRY_S = 0.6
+MAX_RETRY_S = 0.6
 
 
 CHANGES_FACTOR = 3
 """Bytes of changes that are read where only the newest counts, as a multiple of the
 state's own: two versions in base64. More are read faster as one new listing."""
 
-LEAST_CHANGES_BYTES = 600_000
+MIN_CHANGES_LIMIT_BYTES = 600_000
 """Bytes of changes that are read however small the state is: what a link of 5 Mbit/s
 carries in a second."""
 
@@ -45,7 +45,7 @@
         rng: random.Random,
         clock: Clock,
         timeline: Timeline,
-        wait_s: float = WAIT_S,
+        wait_s: float = WATCH_WAIT_S,
         start: Listing | None = None,
         newest_only: bool = False,
     ) -> None:
@@ -81,7 +81,7 @@
                 pause_s = RETRY_S
                 continue
             await asyncio.sleep(pause_s * self._rng.uniform(0.7, 1.3))
-            pause_s = min(pause_s * 2, MOST_RETRY_S)
+            pause_s = min(pause_s * 2, MAX_RETRY_S)
 
     async def _step(self) -> bool:
         if self._revision is None or (self._failed and self._newest_only):
@@ -93,18 +93,18 @@
             self.prefix,
             after=self._revision,
             wait_s=0.0 if self._failed else self._wait_s,
-            most_bytes=self._choose_most_bytes(),
+            most_bytes=self._choose_max_bytes(),
         )
         if isinstance(found, HistoryLost):
             # What happened in between is lost: only a new listing shows it.
             logger.info("listing %s again: %s", self.prefix, found.reason)
-            self._note_answer()
+            self._record_answer()
             self._revision = None
             return True
         if not isinstance(found, Changes):
-            self._note_failure(found.reason)
+            self._record_failure(found.reason)
             return False
-        self._note_answer()
+        self._record_answer()
         self._revision = found.revision
         sizes = (len(c.value) for c in found.changes if c.value is not None)
         self._state_bytes = max(self._state_bytes, *sizes, 0)
@@ -112,23 +112,23 @@
             self._on_change(change)
         return True
 
-    def _choose_most_bytes(self) -> int:
+    def _choose_max_bytes(self) -> int:
         if not self._newest_only:
             return MAX_RESPONSE
-        return max(LEAST_CHANGES_BYTES, CHANGES_FACTOR * self._state_bytes)
+        return max(MIN_CHANGES_LIMIT_BYTES, CHANGES_FACTOR * self._state_bytes)
 
     async def _list(self) -> bool:
         listing = await self._store.read_range(self.prefix)
         if not isinstance(listing, Listing):
-            self._note_failure(listing.reason)
+            self._record_failure(listing.reason)
             return False
-        self._note_answer()
+        self._record_answer()
         self._revision = listing.revision
         self._state_bytes = sum(len(item.value) for item in listing.items)
         self._on_listing(listing)
         return True
 
-    def _note_failure(self, reason: str) -> None:
+    def _record_failure(self, reason: str) -> None:
         self.failures_total += 1
         self._failures += 1
         if self._failures > 1:
@@ -138,7 +138,7 @@
             Event.WATCH_BROKEN, prefix=self.prefix, after=self._revision, reason=reason
         )
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         self.answered_at = self._clock.read_monotonic()
         if not self._failures:
             return
--- a/src/firladder/_internal/node/progress_writer.py
+++ b/src/firladder/_internal/node/progress_writer.py
@@ -15,14 +15,14 @@
 
 logger = logging.getLogger(__name__)
 
-JOBS_A_WRITE = (MAX_ENTRIES - 1) // 2
+MAX_JOBS_PER_WRITE = (MAX_ENTRIES - 1) // 2
 """Jobs of one transaction: each takes a comparison and a write, the leader's own
 key one comparison."""
 
 RETRY_S = 0.1
 """Seconds until a write that the store turned away is tried again."""
 
-GATHER_S = 0.002
+BATCH_DELAY_S = 0.002
 """Seconds for which changes are gathered: ends come in groups, and each write is
 a priced call that takes the store 4 ms."""
 
@@ -64,19 +64,19 @@
         """Write until another leads; return that failure."""
         while True:
             await self._wake.wait()
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_DELAY_S)
             self._wake.clear()
             while self._core.dirty:
-                failure = await self._write_some()
+                failure = await self._write_batch()
                 if isinstance(failure, NotLeader):
                     return failure
                 if failure is not None:
                     await asyncio.sleep(RETRY_S)
 
-    async def _write_some(
+    async def _write_batch(
         self,
     ) -> NotLeader | StoreUnavailable | StoreUncertain | None:
-        jobs = dict(itertools.islice(self._core.dirty.items(), JOBS_A_WRITE))
+        jobs = dict(itertools.islice(self._core.dirty.items(), MAX_JOBS_PER_WRITE))
         versions = {job_id: job.version for job_id, job in jobs.items()}
         expected = [(LEADER, self._token)]
         expected += [(PROGRESS + i, self._revisions.get(i, 0)) for i in jobs]
@@ -100,8 +100,8 @@
     def _encode(self, job: Job) -> bytes:
         if job.state in TERMINAL and not job.ended_at:
             job.ended_at = self._clock.read_wall()
-        ahead_s = self._clock.read_wall() - self._clock.read_monotonic()
-        return encode_progress(job, self._core.workers, ahead_s)
+        wall_offset_s = self._clock.read_wall() - self._clock.read_monotonic()
+        return encode_progress(job, self._core.workers, wall_offset_s)
 
     def _read_conflict(
         self, conflict: Conflict, job_ids: list[str]
--- a/src/firladder/_internal/node/records.py
+++ b/src/firladder/_internal/node/records.py
@@ -19,35 +19,35 @@
 from ..utils.clocks import Clock
 from .fleet import Fleet
 from .keys import CANCELS, JOBS, PROGRESS
-from .partition import Isolation
+from .partition import PartitionDetector
 
 logger = logging.getLogger(__name__)
 
 Outcome = Literal["stored", "exists", "not_stored", "unknown"]
 
-TRY_PAUSE_S = 0.06
+ATTEMPT_PAUSE_S = 0.06
 """Seconds between two tries to store a record."""
 
-REFUSE_AFTER_S = 0.7
+REJECT_AFTER_S = 0.7
 """Seconds of definite failures after which a caller is told to come back. Longer
 waits help nobody: the store is either back within a retry, or away for seconds."""
 
 DIRECT_TIMEOUT_S = 0.8
 """Seconds for the store to store a record; it answers in 4 ms when it is well."""
 
-AWAY_TIMEOUT_S = 0.3
+OUTAGE_TIMEOUT_S = 0.3
 """The same while the store answers nothing: a try that left before it came back is
 never answered, and the next must not wait for it. A slow store takes 0.25 s."""
 
-LEAST_TIMEOUT_S = 0.02
+MIN_ATTEMPT_TIMEOUT_S = 0.02
 """The least time in which a try is worth making: the store answers in some 10 ms.
 Below it the caller is answered while it still listens."""
 
 RELAY_TIMEOUT_S = 0.5
 """Seconds for a peer to store a record for this node."""
 
-LEAST_RETRY_AFTER_S = 1.0
-MOST_RETRY_AFTER_S = 3.0
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 3.0
 """Bounds of the seconds after which callers shall come back. An outage that has
 lasted some seconds lasts about as long again, and callers come back only a few
 times: told one second each time, they have given up before the store returns."""
@@ -55,14 +55,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stored:
-    """The record is stored; ``fresh`` tells whether it was not there before."""
+    """The record is stored; ``created`` tells whether it was not there before."""
 
-    fresh: bool
+    created: bool
 
 
-def choose_retry_after(away_s: float) -> float:
+def choose_retry_after(outage_s: float) -> float:
     """Return when a caller shall come back to a store that is away for so long."""
-    return min(MOST_RETRY_AFTER_S, max(LEAST_RETRY_AFTER_S, away_s))
+    return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, outage_s))
 
 
 class Records:
@@ -78,10 +78,10 @@
         store: PlatformStore,
         fleet: Fleet,
         clock: Clock,
-        isolation: Isolation,
+        partition_detector: PartitionDetector,
     ) -> None:
         """Store through ``store``; ask ``fleet`` where it turns this node away."""
-        self._isolation = isolation
+        self._isolation = partition_detector
         self._store = store
         self._fleet = fleet
         self._clock = clock
@@ -94,23 +94,23 @@
         ``StoreUnavailable`` says that it is not stored and never will be by
         this call; ``OutcomeUnknown`` that it may be.
         """
-        refuse_at = min(until, self._clock.read_monotonic() + REFUSE_AFTER_S)
+        reject_at = min(until, self._clock.read_monotonic() + REJECT_AFTER_S)
         uncertain = False
         relay = False
         while True:
             now = self._clock.read_monotonic()
-            if now + LEAST_TIMEOUT_S >= (until if uncertain else refuse_at):
+            if now + MIN_ATTEMPT_TIMEOUT_S >= (until if uncertain else reject_at):
                 break
-            if self._isolation.cut_off:
+            if self._isolation.partitioned:
                 # Another failure domain may take it: the caller's time is better
                 # spent on the way there. Creating it twice is harmless.
                 break
-            outcome = await self._try(key, value, relay=relay, left_s=until - now)
+            outcome = await self._attempt(key, value, relay=relay, left_s=until - now)
             if outcome in ("stored", "exists"):
-                return Stored(fresh=outcome == "stored")
+                return Stored(created=outcome == "stored")
             uncertain = uncertain or outcome == "unknown"
             relay = not relay
-            await asyncio.sleep(TRY_PAUSE_S)
+            await asyncio.sleep(ATTEMPT_PAUSE_S)
         if uncertain:
             return OutcomeUnknown(reason="the store did not tell in time")
         return StoreUnavailable(
@@ -118,12 +118,14 @@
             retry_after_s=choose_retry_after(self._store.unreachable_s(now)),
         )
 
-    async def _try(
+    async def _attempt(
         self, key: str, value: bytes, *, relay: bool, left_s: float
     ) -> Outcome:
         if not relay:
-            usual_s = DIRECT_TIMEOUT_S if self._store.reachable else AWAY_TIMEOUT_S
-            return await self.create_here(key, value, timeout_s=min(usual_s, left_s))
+            usual_s = DIRECT_TIMEOUT_S if self._store.reachable else OUTAGE_TIMEOUT_S
+            return await self.create_directly(
+                key, value, timeout_s=min(usual_s, left_s)
+            )
         helper = self._fleet.find_store_helper()
         if helper is None:
             return "not_stored"
@@ -137,7 +139,9 @@
         self._fleet.forget_store_helper(helper)
         return "unknown"
 
-    async def create_here(self, key: str, value: bytes, *, timeout_s: float) -> Outcome:
+    async def create_directly(
+        self, key: str, value: bytes, *, timeout_s: float
+    ) -> Outcome:
         """Create a record through this node's own path to the store."""
         result = await self._store.commit(
             expected=[(key, 0)],
--- a/src/firladder/_internal/node/retention.py
+++ b/src/firladder/_internal/node/retention.py
@@ -11,13 +11,13 @@
 
 logger = logging.getLogger(__name__)
 
-CLEAN_S = 15.0
+SWEEP_INTERVAL_S = 15.0
 """Seconds between two searches for jobs to forget."""
 
-CLEANED_AT_ONCE = 8
+MAX_JOBS_PER_SWEEP = 8
 """Jobs forgotten in one search at most, a write each: the store takes few a second."""
 
-KEPT_SLACK_S = 30.0
+RETENTION_MARGIN_S = 30.0
 """Seconds that an ended job is kept beyond what callers are promised."""
 
 
@@ -43,11 +43,11 @@
     async def run(self) -> None:
         """Search for old jobs now and then."""
         while True:
-            await asyncio.sleep(CLEAN_S)
-            await self._forget_old()
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            await self._sweep()
 
-    async def _forget_old(self) -> None:
-        before = self._clock.read_wall() - self._kept_s - KEPT_SLACK_S
+    async def _sweep(self) -> None:
+        before = self._clock.read_wall() - self._kept_s - RETENTION_MARGIN_S
         old = [
             job_id
             for job_id, job in self._core.jobs.items()
@@ -55,7 +55,7 @@
             and 0 < job.ended_at < before
             and job.durable_version >= job.version
         ]
-        for job_id in old[:CLEANED_AT_ONCE]:
+        for job_id in old[:MAX_JOBS_PER_SWEEP]:
             keys = [JOBS + job_id, CANCELS + job_id, PROGRESS + job_id]
             result = await self._store.commit(expected=[], remove=keys)
             if isinstance(result, Failure):
--- a/src/firladder/_internal/node/owner.py
+++ b/src/firladder/_internal/node/session_context.py
@@ -12,7 +12,7 @@
 T = TypeVar("T")
 
 
-class Owner(Protocol):
+class SessionContext(Protocol):
     """The term that attends workers."""
 
     core: Core
--- a/src/firladder/_internal/node/term.py
+++ b/src/firladder/_internal/node/term.py
@@ -27,11 +27,11 @@
 from ..utils.tasks import TaskSet
 from .election import Leadership
 from .evacuations import Evacuations
-from .keys import CANCELS, INTAKE, JOBS, PROGRESS
+from .keys import CANCELS, JOBS, PROGRESS, SUBMISSIONS
+from .prefix_watch import PrefixWatch
 from .progress_writer import ProgressWriter
 from .retention import Retention
 from .timeout_estimator import TimeoutEstimator
-from .watching import PrefixWatch
 from .worker_session import WorkerSession
 
 logger = logging.getLogger(__name__)
@@ -49,11 +49,11 @@
 """Seconds for which events are gathered before a pass; the tasks of a gang end
 within a few milliseconds of each other."""
 
-LOAD_S = 4.0
+LOAD_TIMEOUT_S = 4.0
 """Seconds for reading the records; a leader that takes longer gives way to a node
 with a better way to the store, for nothing is scheduled meanwhile."""
 
-READ_AGAIN_S = 0.1
+READ_RETRY_S = 0.1
 """Seconds until a list that the store did not give is asked for again."""
 
 
@@ -71,13 +71,13 @@
         rng: random.Random,
         timeline: Timeline,
         on_order: ObserveOrder,
-        load_s: float = LOAD_S,
+        load_timeout_s: float = LOAD_TIMEOUT_S,
     ) -> None:
         """Lead under ``leadership``; nothing is read or sent yet."""
-        self._load_s = load_s
+        self._load_timeout_s = load_timeout_s
         self._on_order = on_order
-        self.too_slow = False
-        self.core = Core(lease_s=settings.max_hold_s, note=self._note)
+        self.load_timed_out = False
+        self.core = Core(lease_s=settings.max_hold_s, note=self._record_decision)
         self.calls = calls
         self.timeout_estimator = TimeoutEstimator()
         self.clock = clock
@@ -94,19 +94,19 @@
             core=self.core, timeline=timeline, on_change=self.request_pass
         )
         self._revisions: dict[str, int] = {}
-        self._attendants: dict[str, WorkerSession] = {}
+        self._sessions: dict[str, WorkerSession] = {}
         self._ended: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        self._change = asyncio.Event()
-        self._known_entries: dict[str, int] = {}
+        self._pass_requested = asyncio.Event()
+        self._entry_revisions: dict[str, int] = {}
         self.ready = False
         self.passes = 0
-        self._journal = ProgressWriter(
+        self._progress_writer = ProgressWriter(
             core=self.core,
             store=store,
             token=leadership.token,
             revisions=self._revisions,
             clock=clock,
-            on_durable=self._note_durable,
+            on_durable=self._on_durable,
         )
 
         self._retention = Retention(
@@ -126,7 +126,7 @@
         """
         return (
             self.clock.read_monotonic()
-            < self.leadership.proved_until + STORE_OUTAGE_GRACE_S
+            < self.leadership.lease_valid_until + STORE_OUTAGE_GRACE_S
         )
 
     def step_down(self, reason: str) -> None:
@@ -140,7 +140,7 @@
 
     def request_pass(self) -> None:
         """Plan and write what an event has changed, soon."""
-        self._change.set()
+        self._pass_requested.set()
 
     def record_order(self, kind: str, waited_s: float, took_s: float) -> None:
         """Count an order that waited for others and was then sent."""
@@ -153,17 +153,17 @@
 
     async def run(self) -> str:
         """Lead until the term ends; return why it did."""
-        keep = self._tasks.spawn(self.leadership.keep(), name="renew-leadership")
-        keep.add_done_callback(lambda _: self.step_down("the lease has ended"))
+        renew = self._tasks.spawn(self.leadership.renew(), name="renew-leadership")
+        renew.add_done_callback(lambda _: self.step_down("the lease has ended"))
         load = self._tasks.spawn(self._load_and_start(), name="load")
         try:
             await asyncio.wait(
                 (load, self._ended),
-                timeout=self._load_s,
+                timeout=self._load_timeout_s,
                 return_when=asyncio.FIRST_COMPLETED,
             )
             if not self.ready and not self._ended.done():
-                self.too_slow = True
+                self.load_timed_out = True
                 self.step_down("the records were not read in time")
                 await self.leadership.resign()
             return await self._ended
@@ -182,29 +182,29 @@
 
     def _start_loops(self) -> None:
         self.ready = True
-        journal = self._tasks.spawn(self._journal.run(), name="journal")
-        journal.add_done_callback(self._read_journal_end)
+        writer = self._tasks.spawn(self._progress_writer.run(), name="journal")
+        writer.add_done_callback(self._on_progress_writer_end)
         self._tasks.spawn(self._plan_forever(), name="plan")
         self._tasks.spawn(self._tick_forever(), name="tick")
         self._tasks.spawn(self._retention.run(), name="retention")
 
-    def _read_journal_end(self, task: "asyncio.Task[NotLeader]") -> None:
+    def _on_progress_writer_end(self, task: "asyncio.Task[NotLeader]") -> None:
         if not task.cancelled() and task.exception() is None:
             self.step_down(task.result().reason)
 
     # -- reading what the store holds ----------------------------------------
 
     async def _load(self) -> bool:
-        intake = await self._read(INTAKE)
-        progress = await self._read(PROGRESS)
-        workers = await self._read(WORKER_PREFIX)
-        evacuations = await self._read(EVACUATION_PREFIX)
-        if intake is None or progress is None or workers is None:
+        submissions = await self._read_prefix(SUBMISSIONS)
+        progress = await self._read_prefix(PROGRESS)
+        workers = await self._read_prefix(WORKER_PREFIX)
+        evacuations = await self._read_prefix(EVACUATION_PREFIX)
+        if submissions is None or progress is None or workers is None:
             return False
         if evacuations is None:
             return False
-        self._take_workers(workers)
-        self._evacuations.take_listing(evacuations)
+        self._apply_worker_listing(workers)
+        self._evacuations.apply_listing(evacuations)
         recorded: dict[str, JobProgress] = {}
         for item in progress.items:
             job_id = item.key.removeprefix(PROGRESS)
@@ -214,39 +214,49 @@
                 logger.error("progress of %s cannot be read: %s", job_id, found.reason)
                 continue
             recorded[job_id] = found
-        for item in intake.items:
-            self._take_intake(item.key, item.value, recorded)
+        for item in submissions.items:
+            self._apply_submission(item.key, item.value, recorded)
         self.core.restore_expiries(
             recorded, now=self.clock.read_monotonic(), wall=self.clock.read_wall()
         )
         for worker in self.core.workers.values():
-            self._attend(worker)
+            self._open_session(worker)
         self._timeline.record(
             Event.TERM_LOADED,
             token=self.leadership.token,
             jobs=len(self.core.jobs),
             workers=len(self.core.workers),
         )
-        self._follow(INTAKE, intake, self._relist_intake, self._change_intake)
-        self._follow(WORKER_PREFIX, workers, self._take_workers, self._change_worker)
-        self._follow(
+        self._watch_prefix(
+            SUBMISSIONS,
+            submissions,
+            self._apply_submission_listing,
+            self._apply_submission_change,
+        )
+        self._watch_prefix(
+            WORKER_PREFIX,
+            workers,
+            self._apply_worker_listing,
+            self._apply_worker_change,
+        )
+        self._watch_prefix(
             EVACUATION_PREFIX,
             evacuations,
-            self._evacuations.take_listing,
-            self._evacuations.take_change,
+            self._evacuations.apply_listing,
+            self._evacuations.apply_change,
             newest_only=True,
         )
         return True
 
-    async def _read(self, prefix: str) -> Listing | None:
+    async def _read_prefix(self, prefix: str) -> Listing | None:
         while not self._ended.done():
             listing = await self._store.read_range(prefix)
             if isinstance(listing, Listing):
                 return listing
-            await asyncio.sleep(READ_AGAIN_S)
+            await asyncio.sleep(READ_RETRY_S)
         return None
 
-    def _follow(
+    def _watch_prefix(
         self,
         prefix: str,
         start: Listing,
@@ -268,17 +278,17 @@
         )
         self._tasks.spawn(watch.run(), name=f"watch-{prefix}")
 
-    def _relist_intake(self, listing: Listing) -> None:
+    def _apply_submission_listing(self, listing: Listing) -> None:
         for item in listing.items:
-            self._take_intake(item.key, item.value, {})
+            self._apply_submission(item.key, item.value, {})
         self.request_pass()
 
-    def _change_intake(self, change: Change) -> None:
+    def _apply_submission_change(self, change: Change) -> None:
         if change.value is not None:
-            self._take_intake(change.key, change.value, {})
+            self._apply_submission(change.key, change.value, {})
             self.request_pass()
 
-    def _take_intake(
+    def _apply_submission(
         self, key: str, value: bytes, recorded: dict[str, JobProgress]
     ) -> None:
         if key.startswith(CANCELS):
@@ -299,27 +309,27 @@
         self.core.add_job(accepted, progress)
         self.request_pass()
 
-    def _take_workers(self, listing: Listing) -> None:
+    def _apply_worker_listing(self, listing: Listing) -> None:
         registered = {item.key for item in listing.items}
         for worker in list(self.core.workers.values()):
             if worker.registered and WORKER_PREFIX + worker.worker_id not in registered:
                 self.core.unregister_worker(worker.worker_id)
         for item in listing.items:
-            self._take_worker(item.key, item.value, item.revision)
+            self._apply_worker_entry(item.key, item.value, item.revision)
         self.request_pass()
 
-    def _change_worker(self, change: Change) -> None:
+    def _apply_worker_change(self, change: Change) -> None:
         if change.value is None:
-            self._known_entries.pop(change.key, None)
+            self._entry_revisions.pop(change.key, None)
             self.core.unregister_worker(change.key.removeprefix(WORKER_PREFIX))
         else:
-            self._take_worker(change.key, change.value, change.revision)
+            self._apply_worker_entry(change.key, change.value, change.revision)
         self.request_pass()
 
-    def _take_worker(self, key: str, value: bytes, revision: int) -> None:
-        if self._known_entries.get(key) == revision:
+    def _apply_worker_entry(self, key: str, value: bytes, revision: int) -> None:
+        if self._entry_revisions.get(key) == revision:
             return
-        self._known_entries[key] = revision
+        self._entry_revisions[key] = revision
         entry = decode_worker(key, value)
         if isinstance(entry, MalformedBody):
             self._timeline.record(
@@ -334,51 +344,51 @@
             )
         worker = self.core.register_worker(entry, now=self.clock.read_monotonic())
         if self.ready:
-            self._attend(worker)
+            self._open_session(worker)
 
-    def _attend(self, worker: Worker) -> None:
-        if worker.worker_id in self._attendants or not worker.entry.address:
+    def _open_session(self, worker: Worker) -> None:
+        if worker.worker_id in self._sessions or not worker.entry.address:
             return
-        session = self._attendants[worker.worker_id] = WorkerSession(self, worker)
+        session = self._sessions[worker.worker_id] = WorkerSession(self, worker)
         self._tasks.spawn(
-            self._watch_worker(worker, session), name=f"watch-{worker.worker_id}"
+            self._run_session(worker, session), name=f"watch-{worker.worker_id}"
         )
         self._tasks.spawn(session.send_orders(), name=f"orders-{worker.worker_id}")
 
-    async def _watch_worker(self, worker: Worker, session: WorkerSession) -> None:
+    async def _run_session(self, worker: Worker, session: WorkerSession) -> None:
         await session.watch()
-        if self._attendants.get(worker.worker_id) is session:
-            del self._attendants[worker.worker_id]
+        if self._sessions.get(worker.worker_id) is session:
+            del self._sessions[worker.worker_id]
 
     # -- deciding and ordering ------------------------------------------------
 
     async def _plan_forever(self) -> None:
         while True:
-            await self._change.wait()
+            await self._pass_requested.wait()
             await asyncio.sleep(PASS_DELAY_S)
-            self._change.clear()
+            self._pass_requested.clear()
             self._plan_once()
 
     def _plan_once(self) -> None:
         now = self.clock.read_monotonic()
         self.passes += 1
         self._planner.run_pass(now=now, wall=self.clock.read_wall())
-        self._journal.wake()
-        self._send_orders(now)
+        self._progress_writer.wake()
+        self._dispatch_orders(now)
 
-    def _send_orders(self, now: float) -> None:
+    def _dispatch_orders(self, now: float) -> None:
         for placement in self.core.take_starts():
-            session = self._attendants.get(placement.worker_id)
+            session = self._sessions.get(placement.worker_id)
             if session is not None:
                 session.order(placement, start=True)
         for placement in self.core.take_stops(now):
-            session = self._attendants.get(placement.worker_id)
+            session = self._sessions.get(placement.worker_id)
             if session is not None:
                 session.order(placement, start=False)
 
-    def _note_durable(self) -> None:
-        self._send_orders(self.clock.read_monotonic())
-        for session in self._attendants.values():
+    def _on_durable(self) -> None:
+        self._dispatch_orders(self.clock.read_monotonic())
+        for session in self._sessions.values():
             session.wake()
 
     async def _tick_forever(self) -> None:
@@ -388,9 +398,9 @@
             self.core.expire_runs(now)
             self.core.abort_stalled_runs(now)
             self._planner.move_off_draining(now)
-            for session in list(self._attendants.values()):
+            for session in list(self._sessions.values()):
                 session.wake()
             self._plan_once()
 
-    def _note(self, what: str, **inputs: object) -> None:
+    def _record_decision(self, what: str, **inputs: object) -> None:
         self._timeline.record(Event.CORE_DECIDED, what=what, **inputs)
--- a/src/firladder/_internal/node/timeout_estimator.py
+++ b/src/firladder/_internal/node/timeout_estimator.py
@@ -5,16 +5,16 @@
 order that was lost is taken back before its task is planned again, and urgent work has
 little more than a second to spare."""
 
-LONGEST_S = 1.4
+MAX_TIMEOUT_S = 1.4
 """Seconds at most, and for which a late answer is listened for; workers may be gone."""
 
 MEAN_WEIGHT = 1 / 8
 """Weight of an answer in the mean, as in RFC 6298."""
 
-SPREAD_WEIGHT = 1 / 4
+DEVIATION_WEIGHT = 1 / 4
 """Weight of an answer in the mean deviation, as in RFC 6298."""
 
-SPREADS = 4
+TIMEOUT_DEVIATIONS = 4
 """Mean deviations beyond the mean after which an answer counts as lost."""
 
 
@@ -29,19 +29,21 @@
     def __init__(self) -> None:
         """Start with no answer known."""
         self._mean_s: float | None = None
-        self._spread_s = 0.0
+        self._mean_deviation_s = 0.0
 
     @property
     def timeout_s(self) -> float:
         """Return for how long an answer is awaited, in seconds."""
-        usual_s = (self._mean_s or 0.0) + SPREADS * self._spread_s
-        return min(LONGEST_S, max(MIN_TIMEOUT_S, usual_s))
+        usual_s = (self._mean_s or 0.0) + TIMEOUT_DEVIATIONS * self._mean_deviation_s
+        return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, usual_s))
 
-    def note_answer(self, took_s: float) -> None:
+    def record_answer(self, took_s: float) -> None:
         """Learn from an answer, in time or late."""
         if self._mean_s is None:
-            self._mean_s, self._spread_s = took_s, took_s / 2
+            self._mean_s, self._mean_deviation_s = took_s, took_s / 2
             return
         deviation_s = abs(took_s - self._mean_s)
-        self._spread_s += SPREAD_WEIGHT * (deviation_s - self._spread_s)
+        self._mean_deviation_s += DEVIATION_WEIGHT * (
+            deviation_s - self._mean_deviation_s
+        )
         self._mean_s += MEAN_WEIGHT * (took_s - self._mean_s)
--- a/src/firladder/_internal/node/worker_session.py
+++ b/src/firladder/_internal/node/worker_session.py
@@ -18,37 +18,37 @@
 )
 from ..models.order import WorkerReport
 from .orders import Order, OrderQueue
-from .owner import Owner
-from .timeout_estimator import LONGEST_S
+from .session_context import SessionContext
+from .timeout_estimator import MAX_TIMEOUT_S
 
 logger = logging.getLogger(__name__)
 
-LOOK_WAIT_S = 2.0
+POLL_WAIT_S = 2.0
 """Seconds that a look waits for an end; each look is priced, and the platform
 lets it wait no longer."""
 
-DRAINING_WAIT_S = 0.8
+DRAINING_POLL_WAIT_S = 0.8
 """The same at a worker that drains, whose leases are short."""
 
-LOOK_SLACK_S = 0.5
+MIN_WAITING_POLL_MARGIN_S = 0.5
 """Seconds beyond that, at least, until a look's connection counts as silent."""
 
-QUICK_S = 0.6
+MIN_POLL_TIMEOUT_S = 0.6
 """Seconds, at least, for the answer to a look that does not wait."""
 
-LOOK_AGAIN_S = 0.25
+POLL_RETRY_PAUSE_S = 0.25
 """Seconds until a failed look is repeated; it doubles up to one of the next two."""
 
-MOST_PAUSE_S = 1.0
+MAX_IDLE_RETRY_PAUSE_S = 1.0
 
-HELD_PAUSE_S = 0.4
+MAX_ACTIVE_RETRY_PAUSE_S = 0.4
 """The most while runs of ours may go on there. After a cut their leases have a second
 or two left: a look that comes later finds a gang's work lost."""
 
-NOT_SENT_SLACK_S = 0.02
+NOT_SENT_MARGIN_S = 0.02
 """Seconds beyond the wait in which a call says that it has not left."""
 
-START_TRIES = 3
+MAX_START_ATTEMPTS = 3
 """Times that a start is sent until it counts as lost. Workers know a run that they have
 begun by its number; given up after one try, a gang of a dozen seldom begins while each
 fifth order is lost."""
@@ -58,22 +58,24 @@
 a worker answers at once while it has ends that nobody acknowledged."""
 
 
-def lengthen_pause(pause_s: float, *, holds_runs: bool) -> float:
+def increase_retry_pause(pause_s: float, *, holds_runs: bool) -> float:
     """Return for how long to wait after one more failed look, in seconds."""
-    return min(2 * pause_s, HELD_PAUSE_S if holds_runs else MOST_PAUSE_S)
+    return min(
+        2 * pause_s, MAX_ACTIVE_RETRY_PAUSE_S if holds_runs else MAX_IDLE_RETRY_PAUSE_S
+    )
 
 
 class WorkerSession:
     """The task that owns all calls to one worker."""
 
-    def __init__(self, owner: Owner, worker: Worker) -> None:
-        """Attend ``worker`` for the term ``owner``."""
-        self._owner = owner
-        self._core = owner.core
+    def __init__(self, context: SessionContext, worker: Worker) -> None:
+        """Attend ``worker`` for the term ``context``."""
+        self._context = context
+        self._core = context.core
         self._worker = worker
         self._wake = asyncio.Event()
         self._orders = OrderQueue()
-        self._waits_for_end = False
+        self._waiting_poll_open = False
         self._may_be_granted = asyncio.Event()
 
     def wake(self) -> None:
@@ -86,26 +88,26 @@
 
         The stop of a run whose start has not left is not needed.
         """
-        now = self._owner.clock.read_monotonic()
+        now = self._context.clock.read_monotonic()
         if start:
             self._orders.add_start(placement, now)
-        elif self._orders.holds_start(placement):
+        elif self._orders.has_unsent_start(placement):
             self._core.drop_unsent(placement)
-            self._owner.request_pass()
+            self._context.request_pass()
         else:
             self._orders.add_stop(placement, now)
 
     @property
-    def waiting_orders(self) -> int:
+    def queued_orders(self) -> int:
         """Return how many orders wait to be sent."""
         return len(self._orders)
 
     @property
-    def _gone(self) -> bool:
+    def _removed(self) -> bool:
         return self._core.workers.get(self._worker.worker_id) is not self._worker
 
     @property
-    def _needs_look(self) -> bool:
+    def _needs_poll(self) -> bool:
         worker = self._worker
         return (
             not worker.claimed
@@ -115,20 +117,22 @@
 
     async def watch(self) -> None:
         """Look as long as there is something to see, until the worker is gone."""
-        pause_s = LOOK_AGAIN_S
-        while not self._gone:
-            if not self._needs_look:
+        pause_s = POLL_RETRY_PAUSE_S
+        while not self._removed:
+            if not self._needs_poll:
                 self._wake.clear()
                 await self._wake.wait()
                 continue
             await self._await_durable_ends()
-            if self._gone:
+            if self._removed:
                 return
-            if await self._look():
-                pause_s = LOOK_AGAIN_S
+            if await self._poll():
+                pause_s = POLL_RETRY_PAUSE_S
                 continue
             await asyncio.sleep(pause_s)
-            pause_s = lengthen_pause(pause_s, holds_runs=bool(self._worker.placements))
+            pause_s = increase_retry_pause(
+                pause_s, holds_runs=bool(self._worker.placements)
+            )
 
     async def _await_durable_ends(self) -> None:
         worker = self._worker
@@ -144,13 +148,13 @@
             # its lease must be renewed, and more may have ended.
             return
 
-    async def _look(self, *, may_wait: bool = True) -> bool:
-        worker, owner = self._worker, self._owner
+    async def _poll(self, *, may_wait: bool = True) -> bool:
+        worker, context = self._worker, self._context
         lease_s = leases.choose_lease_s(worker, lease_s=self._core.lease_s)
-        sent_at = owner.clock.read_monotonic()
+        sent_at = context.clock.read_monotonic()
         deadline_s = None
         grant = 0
-        if owner.may_renew and leases.needs_renewal(
+        if context.may_renew and leases.needs_renewal(
             worker, now=sent_at, lease_s=lease_s
         ):
             deadline_s = leases.choose_deadline(worker, now=sent_at, lease_s=lease_s)
@@ -164,18 +168,18 @@
         seen = worker.find_last_durable_end()
         wait_s = self._choose_wait() if may_wait and deadline_s is None else 0.0
         if wait_s:
-            self._waits_for_end = True
-        answer = await owner.calls.look(
+            self._waiting_poll_open = True
+        answer = await context.calls.look(
             worker.worker_id,
             worker.entry.address,
             acknowledged=seen,
             deadline_s=deadline_s,
             wait_s=wait_s,
-            timeout_s=self._choose_look_timeout(wait_s),
+            timeout_s=self._choose_poll_timeout(wait_s),
         )
-        now = owner.clock.read_monotonic()
+        now = context.clock.read_monotonic()
         if wait_s:
-            self._waits_for_end = False
+            self._waiting_poll_open = False
         if isinstance(answer, WorkerReport):
             if grant:
                 leases.record_grant_answered(
@@ -183,11 +187,11 @@
                 )
             worker.drop_acknowledged_ends(seen)
             self._core.handle_report(worker, answer, sent_at=sent_at, now=now)
-            owner.request_pass()
+            context.request_pass()
             return True
         if grant and isinstance(answer, NotSent | WorkerRefused | OrderRejected):
             leases.record_grant_dropped(worker, grant)
-        self._read_failure(answer, now)
+        self._handle_failure(answer, now)
         return False
 
     def _choose_wait(self) -> float:
@@ -199,11 +203,13 @@
             # Where nothing runs, nothing ends: the look would wait in vain, while
             # the task whose absence it proves can be planned again.
             return 0.0
-        return DRAINING_WAIT_S if worker.entry.draining else LOOK_WAIT_S
+        return DRAINING_POLL_WAIT_S if worker.entry.draining else POLL_WAIT_S
 
-    def _choose_look_timeout(self, wait_s: float) -> float:
-        usual_s = self._owner.timeout_estimator.timeout_s
-        return wait_s + max(LOOK_SLACK_S if wait_s else QUICK_S, usual_s)
+    def _choose_poll_timeout(self, wait_s: float) -> float:
+        usual_s = self._context.timeout_estimator.timeout_s
+        return wait_s + max(
+            MIN_WAITING_POLL_MARGIN_S if wait_s else MIN_POLL_TIMEOUT_S, usual_s
+        )
 
     async def _await_answer(
         self, call: Coroutine[Any, Any, float | OrderFailure], timeout_s: float
@@ -213,11 +219,11 @@
         A call that has left goes on for a while: how late its answer is tells for how
         long the next ones are to be awaited.
         """
-        owner = self._owner
-        sent_at = owner.clock.read_monotonic()
-        task = owner.spawn(call, name=f"order-{self._worker.worker_id}")
+        context = self._context
+        sent_at = context.clock.read_monotonic()
+        task = context.spawn(call, name=f"order-{self._worker.worker_id}")
         task.add_done_callback(lambda _: self._time_answer(task, sent_at))
-        await asyncio.wait((task,), timeout=timeout_s + NOT_SENT_SLACK_S)
+        await asyncio.wait((task,), timeout=timeout_s + NOT_SENT_MARGIN_S)
         if task.done():
             return task.result()
         return SentUnanswered(reason="timed out before the answer")
@@ -228,19 +234,19 @@
         if task.cancelled() or task.exception() is not None:
             return
         if isinstance(task.result(), float | OrderRejected):
-            took_s = self._owner.clock.read_monotonic() - sent_at
-            self._owner.timeout_estimator.note_answer(took_s)
+            took_s = self._context.clock.read_monotonic() - sent_at
+            self._context.timeout_estimator.record_answer(took_s)
 
-    async def _look_beside(self) -> None:
+    async def _poll_without_wait(self) -> None:
         """Look beside the look that waits, where that one may wait in vain."""
         worker = self._worker
-        if self._waits_for_end and (worker.awaits_proof or not worker.reachable):
-            await self._look(may_wait=False)
+        if self._waiting_poll_open and (worker.awaits_proof or not worker.reachable):
+            await self._poll(may_wait=False)
 
-    def _read_failure(self, answer: OrderFailure, now: float) -> None:
+    def _handle_failure(self, answer: OrderFailure, now: float) -> None:
         worker = self._worker
         if isinstance(answer, FencedOff):
-            self._owner.step_down("a worker knows a higher fencing token")
+            self._context.step_down("a worker knows a higher fencing token")
         elif isinstance(answer, WorkerReplaced):
             self._core.lose_worker(worker.worker_id, answer.reason)
         else:
@@ -250,33 +256,33 @@
                     extra={"worker": worker.worker_id, "reason": answer.reason},
                 )
             self._core.mark_unreachable(worker, now)
-        self._owner.request_pass()
+        self._context.request_pass()
 
     async def send_orders(self) -> None:
         """Send the orders one after the other over one connection."""
-        while not self._gone:
+        while not self._removed:
             order = await self._orders.take()
             if order.start:
                 await self._start(order)
             else:
                 await self._stop(order)
-                self._orders.note_answered(order)
+                self._orders.mark_stop_answered(order)
             if not self._orders or not self._worker.reachable:
-                await self._look_beside()
+                await self._poll_without_wait()
             self.wake()
-            self._owner.request_pass()
+            self._context.request_pass()
 
     async def _start(self, order: Order) -> None:
-        worker, owner, placement = self._worker, self._owner, order.placement
-        await self._await_reach()
-        self._orders.note_leaving(order)
+        worker, context, placement = self._worker, self._context, order.placement
+        await self._await_reachable()
+        self._orders.mark_start_sent(order)
         if placement.phase is not Phase.SENT:
             self._core.drop_unsent(placement)
             return
-        if self._gone:
+        if self._removed:
             return
         lease_s = self._core.lease_s
-        sent_at = owner.clock.read_monotonic()
+        sent_at = context.clock.read_monotonic()
         deadline_s = leases.choose_deadline(worker, now=sent_at, lease_s=lease_s)
         if deadline_s is None or not worker.may_send_lease:
             # Sent into a cut, its lease might arrive late and nobody could tell.
@@ -284,16 +290,16 @@
             self._core.handle_start_answer(placement, dropped, sent_at)
             return
         grant = leases.record_grant_sent(worker, now=sent_at, lease_s=lease_s)
-        for _ in range(START_TRIES):
+        for _ in range(MAX_START_ATTEMPTS):
             answer = await self._send_start(order, deadline_s)
             if not isinstance(answer, SentUnanswered):
                 break
             placement.may_start_late = True
-            if placement.phase is not Phase.SENT or self._gone:
+            if placement.phase is not Phase.SENT or self._removed:
                 break
-        now = owner.clock.read_monotonic()
-        shown = isinstance(answer, SentUnanswered) and placement.is_active
-        if shown or isinstance(answer, float | OrderRejected):
+        now = context.clock.read_monotonic()
+        seen_running = isinstance(answer, SentUnanswered) and placement.is_active
+        if seen_running or isinstance(answer, float | OrderRejected):
             # A rejected start may still have lengthened the lease. All copies carry
             # the same time, so that a late one does not lengthen it any more.
             leases.record_grant_answered(
@@ -302,20 +308,20 @@
         elif not placement.may_start_late and not isinstance(answer, SentUnanswered):
             leases.record_grant_dropped(worker, grant)
         if isinstance(answer, FencedOff):
-            owner.step_down("a worker knows a higher fencing token")
+            context.step_down("a worker knows a higher fencing token")
             return
-        if not shown:
+        if not seen_running:
             self._core.handle_start_answer(placement, answer, now)
 
-    async def _await_reach(self) -> None:
+    async def _await_reachable(self) -> None:
         """Wait until a lease may be granted, if a call was lost only just now.
 
         Dropped at once, one lost order would end all runs that are planned there, and
         the gangs that they belong to.
         """
-        worker, clock = self._worker, self._owner.clock
-        until = worker.unreachable_at + self._owner.timeout_estimator.timeout_s
-        while not (worker.may_send_lease or self._gone):
+        worker, clock = self._worker, self._context.clock
+        until = worker.unreachable_at + self._context.timeout_estimator.timeout_s
+        while not (worker.may_send_lease or self._removed):
             left_s = until - clock.read_monotonic()
             if left_s <= 0:
                 return
@@ -327,42 +333,44 @@
     async def _send_start(
         self, order: Order, deadline_s: float
     ) -> float | OrderFailure:
-        sent_at = self._owner.clock.read_monotonic()
-        timeout_s = self._owner.timeout_estimator.timeout_s
-        call = self._owner.calls.start(
+        sent_at = self._context.clock.read_monotonic()
+        timeout_s = self._context.timeout_estimator.timeout_s
+        call = self._context.calls.start(
             self._core.describe_start(order.placement),
             deadline_s=deadline_s,
             send_within_s=timeout_s,
-            timeout_s=LONGEST_S,
+            timeout_s=MAX_TIMEOUT_S,
         )
         answer = await self._await_answer(call, timeout_s)
-        now = self._owner.clock.read_monotonic()
-        self._note_answer(order, answer, sent_at=sent_at, now=now)
+        now = self._context.clock.read_monotonic()
+        self._record_answer(order, answer, sent_at=sent_at, now=now)
         return answer
 
     async def _stop(self, order: Order) -> None:
-        owner, placement = self._owner, order.placement
+        context, placement = self._context, order.placement
         stop = self._core.describe_stop(placement)
         if stop is None or placement.key not in self._worker.placements:
             return
         if placement.stop_answered:
             return
-        sent_at = owner.clock.read_monotonic()
-        timeout_s = owner.timeout_estimator.timeout_s
-        call = owner.calls.stop(stop, send_within_s=timeout_s, timeout_s=LONGEST_S)
+        sent_at = context.clock.read_monotonic()
+        timeout_s = context.timeout_estimator.timeout_s
+        call = context.calls.stop(
+            stop, send_within_s=timeout_s, timeout_s=MAX_TIMEOUT_S
+        )
         answer = await self._await_answer(call, timeout_s)
-        now = owner.clock.read_monotonic()
-        self._note_answer(order, answer, sent_at=sent_at, now=now)
+        now = context.clock.read_monotonic()
+        self._record_answer(order, answer, sent_at=sent_at, now=now)
         if isinstance(answer, FencedOff):
-            owner.step_down("a worker knows a higher fencing token")
+            context.step_down("a worker knows a higher fencing token")
             return
         self._core.handle_stop_answer(placement, answer, now)
 
-    def _note_answer(
+    def _record_answer(
         self, order: Order, answer: float | OrderFailure, *, sent_at: float, now: float
     ) -> None:
         waited_s, took_s = sent_at - order.queued_at, now - sent_at
-        self._owner.record_order(order.kind, waited_s, took_s)
+        self._context.record_order(order.kind, waited_s, took_s)
         if isinstance(answer, float):
             return
         logger.info(
@@ -375,7 +383,7 @@
                 "run": order.placement.run,
                 "waited_s": round(waited_s, 3),
                 "took_s": round(took_s, 3),
-                "queued": self.waiting_orders,
+                "queued": self.queued_orders,
                 "reason": answer.reason,
             },
         )
