--- a/src/firladder/_internal/node/orders.py
+++ b/src/firladder/_internal/node/orders.py
@@ -1,4 +1,4 @@
-"""The orders that wait for one worker, and which of them is sent next."""
+"""Queue of the orders for one worker, by rank and age."""
 
 import asyncio
 import dataclasses
@@ -9,7 +9,7 @@
 
 
 class Rank(enum.IntEnum):
-    """Which of the orders that wait for a worker is sent first."""
+    """Rank of a queued order; lower ranks are sent first."""
 
     URGENT_START = 0
     STOP = 1
@@ -18,10 +18,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Order:
-    """A start or a stop that waits for its turn.
+    """A queued start or stop.
 
-    Of one rank, what was queued first goes first. ``queued_at`` is the leader's own
-    time, in seconds.
+    Orders of one rank are sent in the order of ``number``. ``queued_at`` is the
+    leader's monotonic time, in seconds.
     """
 
     rank: Rank
@@ -32,12 +32,12 @@
 
     @property
     def kind(self) -> str:
-        """Return the order's name in logs and metrics."""
+        """Return the kind of order used in logs and metrics."""
         return "start" if self.start else "stop"
 
 
 def choose_rank(placement: Placement, *, start: bool) -> Rank:
-    """Return when an order is sent: urgent work first, then what makes room."""
+    """Return the rank: urgent starts, then stops, which free capacity, then starts."""
     if not start:
         return Rank.STOP
     unit = placement.unit
@@ -46,10 +46,10 @@
 
 
 class OrderQueue:
-    """Starts and stops for one worker; each stop waits in it once.
+    """Starts and stops for one worker; each stop is queued only once.
 
-    A stop is repeated more often than a worker without answers takes one, and starts
-    would wait behind all its copies.
+    The engine repeats a stop more often than an order to a silent worker times out, and
+    starts would wait behind all the copies.
     """
 
     def __init__(self) -> None:
@@ -60,20 +60,20 @@
         self._stopping: set[Placement] = set()
 
     def __len__(self) -> int:
-        """Return how many orders wait."""
+        """Return the number of queued orders."""
         return self._orders.qsize()
 
     def has_unsent_start(self, placement: Placement) -> bool:
-        """Tell whether a placement's start has not left yet."""
+        """Return whether the start of a placement is queued but not sent yet."""
         return placement in self._unsent
 
     def add_start(self, placement: Placement, now: float) -> None:
-        """Add a start."""
+        """Queue a start."""
         self._unsent.add(placement)
         self._put(placement, now, start=True)
 
     def add_stop(self, placement: Placement, now: float) -> None:
-        """Add a stop, unless it waits already or is on its way."""
+        """Queue a stop, unless it is queued or being sent already."""
         if placement not in self._stopping:
             self._stopping.add(placement)
             self._put(placement, now, start=False)
@@ -83,13 +83,13 @@
         self._orders.put_nowait(Order(rank, number, placement, start, now))
 
     async def take(self) -> Order:
-        """Wait for the next order."""
+        """Remove and return the next order; wait for one if there is none."""
         return await self._orders.get()
 
     def mark_start_sent(self, order: Order) -> None:
-        """Note that a start is sent now, or dropped."""
+        """Record that a start is being sent or dropped."""
         self._unsent.discard(order.placement)
 
     def mark_stop_answered(self, order: Order) -> None:
-        """Note that a stop was answered or given up: it may be added again."""
+        """Record that a stop was answered or timed out: it may be queued again."""
         self._stopping.discard(order.placement)
--- a/src/firladder/_internal/node/session_context.py
+++ b/src/firladder/_internal/node/session_context.py
@@ -1,4 +1,4 @@
-"""What the attendant of a worker needs of the term that it belongs to."""
+"""Interface between a worker session and the term that it belongs to."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -13,7 +13,7 @@
 
 
 class SessionContext(Protocol):
-    """The term that attends workers."""
+    """The term of leadership that a worker session acts for."""
 
     core: Core
     calls: WorkerCalls
@@ -22,16 +22,16 @@
 
     @property
     def may_renew(self) -> bool:
-        """Tell whether leases may still be renewed."""
+        """Return whether leases may still be renewed."""
 
     def request_pass(self) -> None:
-        """Plan and write what an event has changed."""
+        """Schedule a planning pass and a write of changed jobs."""
 
     def record_order(self, kind: str, waited_s: float, took_s: float) -> None:
-        """Count an order that waited for others and was then sent."""
+        """Record how long a sent order was queued and how long its answer took."""
 
     def spawn(self, work: Coroutine[Any, Any, T], *, name: str) -> asyncio.Task[T]:
-        """Run ``work`` until it ends, or the term does."""
+        """Run ``work`` until it or the term ends."""
 
     def step_down(self, reason: str) -> None:
         """End the term."""
--- a/src/firladder/_internal/node/timeout_estimator.py
+++ b/src/firladder/_internal/node/timeout_estimator.py
@@ -1,44 +1,45 @@
-"""Choose for how long the answers of workers are awaited."""
+"""Adapt the timeout of orders to the response times of workers."""
 
 MIN_TIMEOUT_S = 0.35
-"""Seconds for the answer to an order at least; workers answer within milliseconds. An
-order that was lost is taken back before its task is planned again, and urgent work has
-little more than a second to spare."""
+"""Minimum timeout of an order, in seconds; workers answer within milliseconds. A lost
+order must be revoked before its task is planned again, and urgent work has little more
+than a second to spare."""
 
 MAX_TIMEOUT_S = 1.4
-"""Seconds at most, and for which a late answer is listened for; workers may be gone."""
+"""Maximum timeout of an order, in seconds, and how long a late answer is accepted: the
+worker may be gone."""
 
 MEAN_WEIGHT = 1 / 8
-"""Weight of an answer in the mean, as in RFC 6298."""
+"""Weight of a new sample in the mean, as in RFC 6298."""
 
 DEVIATION_WEIGHT = 1 / 4
-"""Weight of an answer in the mean deviation, as in RFC 6298."""
+"""Weight of a new sample in the mean deviation, as in RFC 6298."""
 
 TIMEOUT_DEVIATIONS = 4
-"""Mean deviations beyond the mean after which an answer counts as lost."""
+"""Mean deviations above the mean at which an order times out."""
 
 
 class TimeoutEstimator:
-    """A smoothed round trip with its spread, over all workers of a leader.
+    """Smoothed response time and its mean deviation over all workers of a leader.
 
-    What makes all answers late is the leader's own: its link, or its processor. Given
-    up too early, orders are sent again, and the link never becomes free. Late answers
-    count too, so that the wait follows them; a worker that is silent changes nothing.
+    If all answers are late, the cause is the leader's own link or processor. Timing out
+    too early then resends orders and keeps the link full. Late answers are sampled too,
+    so that the timeout follows them; a silent worker changes nothing.
     """
 
     def __init__(self) -> None:
-        """Start with no answer known."""
+        """Start without any sample."""
         self._mean_s: float | None = None
         self._mean_deviation_s = 0.0
 
     @property
     def timeout_s(self) -> float:
-        """Return for how long an answer is awaited, in seconds."""
+        """Return the current timeout of an order, in seconds."""
         usual_s = (self._mean_s or 0.0) + TIMEOUT_DEVIATIONS * self._mean_deviation_s
         return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, usual_s))
 
     def record_answer(self, took_s: float) -> None:
-        """Learn from an answer, in time or late."""
+        """Add the response time of an answer, in time or late."""
         if self._mean_s is None:
             self._mean_s, self._mean_deviation_s = took_s, took_s / 2
             return
--- a/src/firladder/_internal/node/worker_session.py
+++ b/src/firladder/_internal/node/worker_session.py
@@ -1,4 +1,4 @@
-"""Attend one worker: look what runs there, renew its lease, carry orders."""
+"""Manage one worker: poll its state, renew its lease and send its orders."""
 
 import asyncio
 import logging
@@ -24,52 +24,53 @@
 logger = logging.getLogger(__name__)
 
 POLL_WAIT_S = 2.0
-"""Seconds that a look waits for an end; each look is priced, and the platform
-lets it wait no longer."""
+"""Seconds that a poll waits for a run to end. Each poll is billed, and the platform
+allows no longer wait."""
 
 DRAINING_POLL_WAIT_S = 0.8
-"""The same at a worker that drains, whose leases are short."""
+"""Seconds that a poll waits at a draining worker, whose leases are short."""
 
 MIN_WAITING_POLL_MARGIN_S = 0.5
-"""Seconds beyond that, at least, until a look's connection counts as silent."""
+"""Minimum seconds beyond its wait after which a waiting poll times out."""
 
 MIN_POLL_TIMEOUT_S = 0.6
-"""Seconds, at least, for the answer to a look that does not wait."""
+"""Minimum timeout, in seconds, of a poll that does not wait."""
 
 POLL_RETRY_PAUSE_S = 0.25
-"""Seconds until a failed look is repeated; it doubles up to one of the next two."""
+"""Initial seconds before a failed poll is retried; doubles up to a maximum below."""
 
 MAX_IDLE_RETRY_PAUSE_S = 1.0
+"""Maximum retry pause, in seconds, for a worker without placements."""
 
 MAX_ACTIVE_RETRY_PAUSE_S = 0.4
-"""The most while runs of ours may go on there. After a cut their leases have a second
-or two left: a look that comes later finds a gang's work lost."""
+"""Maximum retry pause, in seconds, while runs may be active on the worker. After a
+partition their leases have a second or two left; a later poll finds the gang lost."""
 
 NOT_SENT_MARGIN_S = 0.02
-"""Seconds beyond the wait in which a call says that it has not left."""
+"""Extra seconds to wait for a call to report that it was never sent."""
 
 MAX_START_ATTEMPTS = 3
-"""Times that a start is sent until it counts as lost. Workers know a run that they have
-begun by its number; given up after one try, a gang of a dozen seldom begins while each
-fifth order is lost."""
+"""Attempts to send a start before it counts as lost. Workers deduplicate starts by run
+number. With a single attempt, a gang of a dozen seldom starts while one order in five
+is lost."""
 
 DURABLE_WAIT_S = 0.25
-"""Seconds for which a look is put off until the ends that were read are durable:
-a worker answers at once while it has ends that nobody acknowledged."""
+"""Maximum seconds that a poll is delayed until the ended runs it would acknowledge are
+durable. A worker answers at once while it has unacknowledged ends."""
 
 
 def increase_retry_pause(pause_s: float, *, holds_runs: bool) -> float:
-    """Return for how long to wait after one more failed look, in seconds."""
+    """Return the pause after another failed poll, in seconds."""
     return min(
         2 * pause_s, MAX_ACTIVE_RETRY_PAUSE_S if holds_runs else MAX_IDLE_RETRY_PAUSE_S
     )
 
 
 class WorkerSession:
-    """The task that owns all calls to one worker."""
+    """Makes all calls to one worker: polls, lease renewals and orders."""
 
     def __init__(self, context: SessionContext, worker: Worker) -> None:
-        """Attend ``worker`` for the term ``context``."""
+        """Manage ``worker`` on behalf of the term ``context``."""
         self._context = context
         self._core = context.core
         self._worker = worker
@@ -79,14 +80,14 @@
         self._may_be_granted = asyncio.Event()
 
     def wake(self) -> None:
-        """Look again, if there is anything to look at."""
+        """Let the loops check again whether the worker must be polled."""
         self._wake.set()
         self._may_be_granted.set()
 
     def order(self, placement: Placement, *, start: bool) -> None:
-        """Send a start or a stop when its turn comes.
+        """Queue a start or a stop.
 
-        The stop of a run whose start has not left is not needed.
+        Stopping a run whose start was not sent yet drops the start instead.
         """
         now = self._context.clock.read_monotonic()
         if start:
@@ -99,7 +100,7 @@
 
     @property
     def queued_orders(self) -> int:
-        """Return how many orders wait to be sent."""
+        """Return the number of orders waiting to be sent."""
         return len(self._orders)
 
     @property
@@ -116,7 +117,7 @@
         )
 
     async def watch(self) -> None:
-        """Look as long as there is something to see, until the worker is gone."""
+        """Poll the worker whenever needed until it is removed."""
         pause_s = POLL_RETRY_PAUSE_S
         while not self._removed:
             if not self._needs_poll:
@@ -144,8 +145,8 @@
         try:
             await asyncio.wait_for(self._wake.wait(), DURABLE_WAIT_S)
         except TimeoutError:
-            # The store is slow or away. The worker is looked at all the same:
-            # its lease must be renewed, and more may have ended.
+            # The store is slow or unavailable. Poll the worker anyway: its lease
+            # must be renewed, and more runs may have ended.
             return
 
     async def _poll(self, *, may_wait: bool = True) -> bool:
@@ -161,9 +162,9 @@
         if deadline_s is not None and worker.may_send_lease:
             grant = leases.record_grant_sent(worker, now=sent_at, lease_s=lease_s)
         else:
-            # A lease sent into a cut may arrive late, and nobody could tell
-            # until when the worker's tasks run. So a worker that does not
-            # answer is looked at, and gets its lease when it does.
+            # A lease sent into a partition may arrive late, which would leave the
+            # end of the worker's lease unknown. A worker that does not answer is
+            # only polled, and gets its lease once it answers.
             deadline_s = None
         seen = worker.find_last_durable_end()
         wait_s = self._choose_wait() if may_wait and deadline_s is None else 0.0
@@ -195,13 +196,13 @@
         return False
 
     def _choose_wait(self) -> float:
-        """Return for how long a look may wait for an end, in seconds."""
+        """Return how long a poll may wait for a run to end, in seconds."""
         worker = self._worker
         if not (worker.claimed and worker.reachable and worker.placements):
             return 0.0
         if worker.awaits_proof:
-            # Where nothing runs, nothing ends: the look would wait in vain, while
-            # the task whose absence it proves can be planned again.
+            # This poll proves that a run is absent, so that its task can be planned
+            # again. Where nothing runs, waiting for an end only delays that.
             return 0.0
         return DRAINING_POLL_WAIT_S if worker.entry.draining else POLL_WAIT_S
 
@@ -214,10 +215,10 @@
     async def _await_answer(
         self, call: Coroutine[Any, Any, float | OrderFailure], timeout_s: float
     ) -> float | OrderFailure:
-        """Return the answer to an order, or that it did not come in time.
+        """Return the answer to an order, or ``SentUnanswered`` after the timeout.
 
-        A call that has left goes on for a while: how late its answer is tells for how
-        long the next ones are to be awaited.
+        The call itself continues, so that a late answer still adapts the timeout of
+        the next orders.
         """
         context = self._context
         sent_at = context.clock.read_monotonic()
@@ -238,7 +239,7 @@
             self._context.timeout_estimator.record_answer(took_s)
 
     async def _poll_without_wait(self) -> None:
-        """Look beside the look that waits, where that one may wait in vain."""
+        """Poll at once if a waiting poll is open that may not return soon."""
         worker = self._worker
         if self._waiting_poll_open and (worker.awaits_proof or not worker.reachable):
             await self._poll(may_wait=False)
@@ -259,7 +260,7 @@
         self._context.request_pass()
 
     async def send_orders(self) -> None:
-        """Send the orders one after the other over one connection."""
+        """Send the queued orders one at a time until the worker is removed."""
         while not self._removed:
             order = await self._orders.take()
             if order.start:
@@ -285,8 +286,8 @@
         sent_at = context.clock.read_monotonic()
         deadline_s = leases.choose_deadline(worker, now=sent_at, lease_s=lease_s)
         if deadline_s is None or not worker.may_send_lease:
-            # Sent into a cut, its lease might arrive late and nobody could tell.
-            dropped = NotSent(reason="the worker is out of reach")
+            # Its lease, sent into a partition, might arrive late and unnoticed.
+            dropped = NotSent(reason="the worker is unreachable")
             self._core.handle_start_answer(placement, dropped, sent_at)
             return
         grant = leases.record_grant_sent(worker, now=sent_at, lease_s=lease_s)
@@ -300,8 +301,8 @@
         now = context.clock.read_monotonic()
         seen_running = isinstance(answer, SentUnanswered) and placement.is_active
         if seen_running or isinstance(answer, float | OrderRejected):
-            # A rejected start may still have lengthened the lease. All copies carry
-            # the same time, so that a late one does not lengthen it any more.
+            # A rejected start may still have extended the lease. All attempts carry
+            # the same deadline, so a late one cannot extend it further.
             leases.record_grant_answered(
                 worker, grant, sent_at=sent_at, now=now, lease_s=lease_s
             )
@@ -314,10 +315,10 @@
             self._core.handle_start_answer(placement, answer, now)
 
     async def _await_reachable(self) -> None:
-        """Wait until a lease may be granted, if a call was lost only just now.
+        """Wait until a lease may be granted, if a call failed only recently.
 
-        Dropped at once, one lost order would end all runs that are planned there, and
-        the gangs that they belong to.
+        If starts were dropped at once, one lost order would end all runs planned on
+        this worker, and the gangs that they belong to.
         """
         worker, clock = self._worker, self._context.clock
         until = worker.unreachable_at + self._context.timeout_estimator.timeout_s
@@ -374,7 +375,7 @@
         if isinstance(answer, float):
             return
         logger.info(
-            "order not taken",
+            "order failed",
             extra={
                 "kind": order.kind,
                 "job": order.placement.task.job_id,
