--- a/src/firladder/_internal/node/client_api.py
+++ b/src/firladder/_internal/node/client_api.py
@@ -1,4 +1,4 @@
-"""Answer clients: submit, state, cancel, and the length of a queue."""
+"""Serve clients: submit a job, read its state, cancel it, count a queue's jobs."""
 
 import logging
 import re
@@ -45,44 +45,44 @@
 JOB_ID = re.compile(r"[0-9a-f]{16}\Z")
 
 DEFAULT_DEADLINE_S = 2.5
-"""Seconds that a caller is taken to wait if it does not say."""
+"""Deadline of a call that states none, in seconds."""
 
 ANSWER_MARGIN_S = 0.2
-"""Seconds before a caller's deadline at which it gets its answer at the latest:
-the way to the caller, and this process being busy."""
+"""Seconds before a caller's deadline by which it is answered: covers the network and
+delays of a busy process."""
 
 MAX_MARGIN_SHARE = 0.35
-"""The most that this margin takes of a deadline: a caller's last try has a tenth of a
-second left, in which the store answers many times over."""
+"""Maximum share of a deadline that this margin takes. A caller's last attempt has a
+tenth of a second left, several times what the store takes to answer."""
 
 LEADER_TIMEOUT_S = 0.25
-"""Seconds for the leader's answer; it answers from memory."""
+"""Timeout of a question to the leader, in seconds; it answers from memory."""
 
 MAX_CACHED_OUTCOMES = 5000
-"""Outcomes remembered here; they never change, and clients ask again."""
+"""Final job states cached; they never change, and clients ask for them repeatedly."""
 
 RETRY_AFTER_S = 1.0
-"""Seconds after which callers shall come back to a node that cannot serve now."""
+"""Seconds after which callers should retry when this node cannot serve them."""
 
 
 class ClientApi:
-    """Handlers of clients' calls; state that must last is in the store."""
+    """Handlers of client calls; durable state is kept in the store."""
 
     def __init__(self, node: "Node", records: Records) -> None:
-        """Answer for ``node``."""
+        """Serve the clients of ``node``."""
         self._node = node
         self._records = records
         self._outcomes: dict[str, JobState] = {}
         self.counts: dict[tuple[str, int], int] = {}
 
     def find(self, method: str, path: str) -> tuple[Handler, dict[str, str]] | Failure:
-        """Return the handler of every client call."""
+        """Return the handler of a client call; there is one for all paths."""
         if method not in ("GET", "POST", "DELETE"):
             return MethodNotAllowed(reason="use GET, POST or DELETE", field="method")
         return _answer_call, {}
 
     async def answer(self, call: HttpCall) -> HttpReply:
-        """Answer a call and count it."""
+        """Answer a call and record it in the metrics."""
         started_at = self._node.clock.read_monotonic()
         reply = await self._answer(call, started_at)
         spent_s = self._node.clock.read_monotonic() - started_at
@@ -99,7 +99,9 @@
             )
         queue = configuration.find_queue(call.headers.get("host", ""), call.path)
         if queue is None:
-            unknown = NotFound(reason="no such queue", field="path")
+            unknown = NotFound(
+                reason="no queue serves this host and path", field="path"
+            )
             return self._reject(call, unknown, status=404)
         organisation = Organisation("")
         if not queue.public:
@@ -107,7 +109,7 @@
                 call.headers.get("authorization", "")
             )
             if known is None:
-                unknown_key = UnknownKey(reason="no organisation has this key")
+                unknown_key = UnknownKey(reason="the key belongs to no organisation")
                 return self._reject(call, unknown_key, status=401)
             organisation = known
         job_id = call.path[len(queue.prefix) :]
@@ -158,7 +160,7 @@
             return reply_failure(workload)
         if self._node.leaving:
             return reply_failure(
-                Draining(reason="this node stops", retry_after_s=RETRY_AFTER_S)
+                Draining(reason="this node is stopping", retry_after_s=RETRY_AFTER_S)
             )
         accepted = AcceptedJob(
             job_id,
--- a/src/firladder/_internal/node/configuration.py
+++ b/src/firladder/_internal/node/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this node: only rising versions are adopted."""
+"""The configuration in force on this node; its version never decreases."""
 
 import logging
 from collections import Counter
@@ -13,14 +13,14 @@
 logger = logging.getLogger(__name__)
 
 STORE_SOURCE = "store"
-"""The source of a configuration that the store sent; others are peers' IP numbers."""
+"""Source of a configuration read from the store; other sources are peer addresses."""
 
 
 class ConfigurationCache:
-    """The newest configuration that this process has seen from anywhere."""
+    """The newest configuration received from the store or a peer."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without a configuration."""
         self.current = QueueConfiguration(0)
         self.raw = b""
         self.source = ""
@@ -34,16 +34,16 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force; 0 for none."""
+        """Return the version in force, or 0 if there is none."""
         return self.current.version
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take what the operators' prefix holds."""
+        """Apply a listing of the operators' prefix."""
         for item in listing.items:
             self._apply_item(item.key, item.value)
 
     def apply_change(self, change: Change) -> None:
-        """Take a change below the operators' prefix."""
+        """Apply a change below the operators' prefix."""
         if change.value is not None:
             self._apply_item(change.key, change.value)
 
@@ -52,11 +52,11 @@
             self.offer(value, source=STORE_SOURCE)
 
     def offer(self, value: bytes, *, source: str) -> bool:
-        """Adopt a configuration if it is newer; tell whether it was.
+        """Adopt a configuration if it is newer; return whether it was adopted.
 
-        A node that the store turns away hears of versions from its peers, and
-        may hear of an older one from a peer that was cut off: taking it would
-        bring back queues and keys that were removed.
+        A node that cannot reach the store gets versions from its peers, and a peer
+        that was partitioned may send an older one: adopting it would restore queues
+        and keys that were removed.
         """
         self.received_bytes[STORE_SOURCE if source == STORE_SOURCE else "peer"] += len(
             value
@@ -65,7 +65,9 @@
             return False
         fresh = decode_configuration(value)
         if isinstance(fresh, MalformedBody):
-            logger.warning("configuration from %s left out: %s", source, fresh.reason)
+            logger.warning(
+                "ignoring malformed configuration from %s: %s", source, fresh.reason
+            )
             return False
         self.record_version(fresh.version)
         if fresh.version <= self.version:
@@ -78,13 +80,13 @@
         return True
 
     def pack(self) -> bytes:
-        """Return the configuration packed for peers; done once a version."""
+        """Return the configuration packed for peers; packed once for each version."""
         if self._packed[0] != self.version:
             self._packed = (self.version, pack_bytes(self.raw))
         return self._packed[1]
 
     def record_version(self, version: int) -> None:
-        """Note that ``version`` exists, whether this node has it or not."""
+        """Record that ``version`` exists, whether or not this node has it."""
         self.newest_known_version = max(self.newest_known_version, version)
 
     def _index(self) -> None:
@@ -100,13 +102,13 @@
         }
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of ``path`` at ``host``."""
+        """Return the queue of ``host`` with the longest prefix of ``path``."""
         name = host.rpartition(":")[0] if ":" in host else host
         queues = self._by_host.get(name.lower(), [])
         return next((q for q in queues if path.startswith(q.prefix)), None)
 
     def find_organisation(self, authorization: str) -> Organisation | None:
-        """Return the organisation whose key came with a call."""
+        """Return the organisation that a call's authorization header identifies."""
         scheme, _, key = authorization.partition(" ")
         if scheme.lower() != "bearer":
             return None
--- a/src/firladder/_internal/node/distribution.py
+++ b/src/firladder/_internal/node/distribution.py
@@ -1,7 +1,7 @@
-"""Pass the newest configuration on between nodes, for those that the store turns away.
+"""Distribute the newest configuration to nodes that cannot reach the store.
 
-A version number travels to a few peers and with each greeting; only who is behind asks
-for the configuration itself, of one peer at a time.
+Version numbers are sent to a few peers and with each greeting. Only a node that is
+behind fetches the configuration itself, from one peer at a time.
 """
 
 import asyncio
@@ -23,39 +23,39 @@
 from .configuration import ConfigurationCache
 
 ADVERT_FANOUT = 3
-"""Peers told of a version by each node that adopts it. With two thirds of a fleet
-telling three each, some seven in eight of the others hear of it at once; the rest hear
-with the next greetings."""
+"""Peers to which a node advertises a version that it adopts. If two thirds of a fleet
+advertise to three each, some seven in eight of the others learn of it at once; the rest
+learn of it from the next greetings."""
 
 ADVERT_TIMEOUT_S = 0.4
-"""Seconds for the receipt of an advert; nodes are about a millisecond apart."""
+"""Timeout of an advert, in seconds; nodes are about a millisecond apart."""
 
 CATCH_UP_DELAY_S = 0.1
-"""Seconds for which a node that hears of a newer version waits for its own watch to
-bring it: nearly all have it by then, and need not be sent it by a peer."""
+"""Seconds for which a node that learns of a newer version waits for its own store watch
+to deliver it. Nearly all nodes have it by then and need not fetch it from a peer."""
 
 FETCH_TIMEOUT_S = 0.5
-"""Seconds for the first peer that is asked; a packed megabyte takes 0.2 s at 5 Mbit/s.
-Each further peer is given twice as long, up to ``MAX_FETCH_TIMEOUT_S``: a limit that
-is too short for the link would be too short again."""
+"""Timeout of the first fetch, in seconds; a packed megabyte takes 0.2 s at 5 Mbit/s.
+It doubles for each further peer, up to ``MAX_FETCH_TIMEOUT_S``: a timeout too short for
+the link would fail every time."""
 
 MAX_FETCH_TIMEOUT_S = 4.0
 
 MAX_CONFIGURATION_BYTES = 4 * 1024 * 1024
-"""Bytes of a configuration from a peer; the store holds values of a megabyte."""
+"""Maximum bytes of an unpacked configuration; the store holds values of a megabyte."""
 
 
 class Ask(Protocol):
-    """Sends a message to a node and returns its reply."""
+    """Function that sends a message to a node and returns its reply."""
 
     def __call__(
         self, ip: str, body: AnyBody, *, timeout_s: float
     ) -> Coroutine[Any, Any, AnyBody | PeerUnreachable]:
-        """Ask the node at ``ip``."""
+        """Send ``body`` to the node at ``ip``."""
 
 
 class Distribution:
-    """This node's part in passing configurations on."""
+    """Advertises this node's configuration version and fetches newer ones."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         timeline: Timeline,
         tasks: TaskSet,
     ) -> None:
-        """Pass on what ``configuration`` holds, and offer it what peers have."""
+        """Distribute ``configuration``, and update it from peers."""
         self._ip = ip
         self._ask = ask
         self._list_peers = list_peers
@@ -80,11 +80,11 @@
         self._catching_up = False
 
     def advertise(self) -> None:
-        """Tell a few peers which configuration this node has adopted.
+        """Advertise the adopted version to a few peers.
 
-        Answers changes in quick succession on a large fleet. Sent whole, by each node
-        to each other, a change of some kilobytes fills the links of small VMs for a
-        second: they lose the store, and take themselves for cut off.
+        Only the version is sent: if each node sent a configuration of some kilobytes to
+        every other, quick successive changes in a large fleet would fill the links of
+        small VMs for a second, and they would consider themselves partitioned.
         """
         peers = self._list_peers()
         body = AdvertiseConfiguration(ip=self._ip, version=self._configuration.version)
@@ -94,18 +94,18 @@
             )
 
     async def handle_advert(self, message: AdvertiseConfiguration) -> AnyBody:
-        """Hear of the version that a peer has adopted."""
+        """Record the version that a peer advertises."""
         self.record_version(message.ip, message.version)
         return Received()
 
     async def handle_fetch(self, message: FetchQueues) -> AnyBody:
-        """Return the configuration if it is newer than the asker's."""
+        """Return the configuration if it is newer than the requester's."""
         if self._configuration.version <= message.newer_than:
             return QueuesReply()
         return QueuesReply(packed=self._configuration.pack())
 
     def record_version(self, ip: str, version: int) -> None:
-        """Note that the node at ``ip`` has ``version``, and get it if it is newer."""
+        """Record that the node at ``ip`` has ``version``; fetch it if it is newer."""
         self._configuration.record_version(version)
         if version <= self._configuration.version:
             return
@@ -126,7 +126,7 @@
             self._catching_up = False
 
     def _choose_holder(self) -> str | None:
-        """Return a peer that has the newest version heard of, if any is ahead."""
+        """Return a random peer with the newest known version, if any is ahead."""
         own = self._configuration.version
         self._holders = {ip: v for ip, v in self._holders.items() if v > own}
         if not self._holders:
@@ -150,13 +150,13 @@
             )
 
     def _apply_reply(self, ip: str, reply: AnyBody | PeerUnreachable) -> str:
-        """Offer what came; return why nothing could be offered."""
+        """Offer the fetched configuration; return why it may not have been adopted."""
         if isinstance(reply, PeerUnreachable):
             return reply.reason
         if not isinstance(reply, QueuesReply) or not reply.packed:
-            return "the peer has none that is newer"
+            return "the peer has no newer configuration"
         value = unpack_bytes(reply.packed, most_bytes=MAX_CONFIGURATION_BYTES)
         if isinstance(value, MalformedBody):
             return value.reason
         self._configuration.offer(value, source=ip)
-        return "it is not a newer configuration"
+        return "the fetched configuration is not newer"
--- a/src/firladder/_internal/node/peer_handlers.py
+++ b/src/firladder/_internal/node/peer_handlers.py
@@ -1,4 +1,4 @@
-"""Answer what other nodes ask of this one."""
+"""Handle requests from other nodes."""
 
 from typing import TYPE_CHECKING
 
@@ -22,11 +22,11 @@
     from .daemon import Node
 
 HELP_TIMEOUT_S = 0.4
-"""Seconds for the store to take a peer's record; the peer waits 0.5 s for it."""
+"""Timeout of a store write made for a peer, in seconds; the peer waits 0.5 s for it."""
 
 
 def apply_announcement(term: Term, body: AnyBody) -> None:
-    """Tell a term of a stored job or cancellation before its watch does."""
+    """Pass a stored job or cancellation to the term ahead of its store watch."""
     if isinstance(body, AnnounceJob):
         term.add_record(body.record)
     elif isinstance(body, AnnounceCancel):
@@ -35,14 +35,14 @@
 
 
 class PeerHandlers:
-    """The node's end of questions from its peers."""
+    """Handlers of the messages that peers send to a leader or to a store helper."""
 
     def __init__(self, node: "Node") -> None:
-        """Answer for ``node``."""
+        """Handle requests to ``node``."""
         self._node = node
 
     def register(self) -> None:
-        """Answer all messages that a leader or a helper is asked."""
+        """Register all handlers with the node's fabric."""
         self._node.fabric.handle(AnnounceJob, self._handle_announcement)
         self._node.fabric.handle(AnnounceCancel, self._handle_announcement)
         self._node.fabric.handle(AskJob, self._handle_job_query)
@@ -50,7 +50,7 @@
         self._node.fabric.handle(StoreRecord, self._handle_store_request)
 
     def _refuse(self) -> Refused:
-        return Refused(failure=NotLeader(reason="this node does not lead"))
+        return Refused(failure=NotLeader(reason="this node is not the leader"))
 
     async def _handle_announcement(self, message: AnyBody) -> AnyBody:
         if self._node.term is None or not self._node.term.ready:
--- a/src/firladder/_internal/node/records.py
+++ b/src/firladder/_internal/node/records.py
@@ -1,4 +1,4 @@
-"""Store what callers hand in, and read back what became of it."""
+"""Store submissions and cancellations, and read the state of jobs."""
 
 import asyncio
 import dataclasses
@@ -26,50 +26,51 @@
 Outcome = Literal["stored", "exists", "not_stored", "unknown"]
 
 ATTEMPT_PAUSE_S = 0.06
-"""Seconds between two tries to store a record."""
+"""Seconds between two attempts to store a record."""
 
 REJECT_AFTER_S = 0.7
-"""Seconds of definite failures after which a caller is told to come back. Longer
-waits help nobody: the store is either back within a retry, or away for seconds."""
+"""Seconds of definite failures after which a call is rejected. Waiting longer does not
+help: the store either recovers within one retry or is unavailable for seconds."""
 
 DIRECT_TIMEOUT_S = 0.8
-"""Seconds for the store to store a record; it answers in 4 ms when it is well."""
+"""Timeout of a direct write, in seconds; a healthy store answers in 4 ms."""
 
 OUTAGE_TIMEOUT_S = 0.3
-"""The same while the store answers nothing: a try that left before it came back is
-never answered, and the next must not wait for it. A slow store takes 0.25 s."""
+"""Timeout of a direct write during a store outage, in seconds. A write sent before the
+store recovered is never answered and must not delay the next one. A slow store takes
+0.25 s."""
 
 MIN_ATTEMPT_TIMEOUT_S = 0.02
-"""The least time in which a try is worth making: the store answers in some 10 ms.
-Below it the caller is answered while it still listens."""
+"""Minimum seconds left for another attempt: the store answers in some 10 ms. With less
+left, the caller is answered before its deadline instead."""
 
 RELAY_TIMEOUT_S = 0.5
-"""Seconds for a peer to store a record for this node."""
+"""Timeout of a write through a peer, in seconds."""
 
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 3.0
-"""Bounds of the seconds after which callers shall come back. An outage that has
-lasted some seconds lasts about as long again, and callers come back only a few
-times: told one second each time, they have given up before the store returns."""
+"""Bounds of the seconds after which callers should retry. An outage that has lasted
+some seconds lasts about as long again, and callers retry only a few times: told to
+retry after one second each time, they give up before the store recovers."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stored:
-    """The record is stored; ``created`` tells whether it was not there before."""
+    """A record is stored; ``created`` is false if it existed before."""
 
     created: bool
 
 
 def choose_retry_after(outage_s: float) -> float:
-    """Return when a caller shall come back to a store that is away for so long."""
+    """Return when callers should retry, in seconds, given the outage so far."""
     return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, outage_s))
 
 
 class Records:
-    """The intake's side of the store, directly or through a peer.
+    """Creates and reads client records in the store, directly or through a peer.
 
-    Creating a record that may exist already is idempotent, so that every try
-    without an answer can be repeated until one says where the record stands.
+    Creating a record that may exist already is idempotent, so an attempt without an
+    answer can be repeated until one reports whether the record is stored.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
         clock: Clock,
         partition_detector: PartitionDetector,
     ) -> None:
-        """Store through ``store``; ask ``fleet`` where it turns this node away."""
+        """Write to ``store``, or through peers in ``fleet`` if it is unreachable."""
         self._isolation = partition_detector
         self._store = store
         self._fleet = fleet
@@ -89,10 +90,10 @@
     async def create(
         self, key: str, value: bytes, *, until: float
     ) -> Stored | StoreUnavailable | OutcomeUnknown:
-        """Create a record unless there is one, by ``until`` (monotonic seconds).
+        """Create a record unless it exists, by ``until`` (monotonic seconds).
 
-        ``StoreUnavailable`` says that it is not stored and never will be by
-        this call; ``OutcomeUnknown`` that it may be.
+        ``StoreUnavailable`` means that this call has not stored it and never will;
+        ``OutcomeUnknown`` means that it may be stored.
         """
         reject_at = min(until, self._clock.read_monotonic() + REJECT_AFTER_S)
         uncertain = False
@@ -102,8 +103,8 @@
             if now + MIN_ATTEMPT_TIMEOUT_S >= (until if uncertain else reject_at):
                 break
             if self._isolation.partitioned:
-                # Another failure domain may take it: the caller's time is better
-                # spent on the way there. Creating it twice is harmless.
+                # Answer now, so that the caller has time left to retry in another
+                # failure domain. Creating the record twice is harmless.
                 break
             outcome = await self._attempt(key, value, relay=relay, left_s=until - now)
             if outcome in ("stored", "exists"):
@@ -112,9 +113,9 @@
             relay = not relay
             await asyncio.sleep(ATTEMPT_PAUSE_S)
         if uncertain:
-            return OutcomeUnknown(reason="the store did not tell in time")
+            return OutcomeUnknown(reason="the store did not answer in time")
         return StoreUnavailable(
-            reason="the store takes no writes at the moment",
+            reason="the store is unavailable for writes",
             retry_after_s=choose_retry_after(self._store.unreachable_s(now)),
         )
 
@@ -142,7 +143,7 @@
     async def create_directly(
         self, key: str, value: bytes, *, timeout_s: float
     ) -> Outcome:
-        """Create a record through this node's own path to the store."""
+        """Create a record in the store without the help of a peer."""
         result = await self._store.commit(
             expected=[(key, 0)],
             writes=[Write(key, value)],
@@ -157,7 +158,7 @@
     async def read_state(
         self, job_id: str
     ) -> JobState | JobGone | StoreUnavailable | OutcomeUnknown:
-        """Return a job's state as the store has it."""
+        """Return the state of a job as recorded in the store."""
         accepted, cancelled, progress = await asyncio.gather(
             self._store.read_item(JOBS + job_id),
             self._store.read_item(CANCELS + job_id),
@@ -167,7 +168,7 @@
             if not isinstance(found, Item | NotFound):
                 return OutcomeUnknown(reason=found.reason)
         if isinstance(accepted, NotFound):
-            return JobGone(reason="no such job")
+            return JobGone(reason="no job has this id")
         state = _read_progress(progress) if isinstance(progress, Item) else None
         if state is not None and state is not JobState.RUNNING:
             return state
@@ -176,7 +177,7 @@
         return state or JobState.QUEUED
 
     async def exists(self, job_id: str) -> bool | OutcomeUnknown:
-        """Tell whether a job was accepted."""
+        """Return whether a job was accepted."""
         found = await self._store.read_item(JOBS + job_id)
         if isinstance(found, Item):
             return True
@@ -188,7 +189,7 @@
 def _read_progress(item: Item) -> JobState | None:
     progress = decode_progress(item.value)
     if isinstance(progress, MalformedBody):
-        logger.error("progress %s cannot be read: %s", item.key, progress.reason)
+        logger.error("cannot decode progress record %s: %s", item.key, progress.reason)
         return None
     state = JobState(progress.state)
     if state is JobState.QUEUED and progress.units:
