--- a/src/firladder/_internal/node/election.py
+++ b/src/firladder/_internal/node/election.py
@@ -1,4 +1,4 @@
-"""Choose one leader by a key under a lease, and keep it while it is proved."""
+"""Elect one leader by a key under a lease, and renew the lease."""
 
 import asyncio
 import dataclasses
@@ -15,64 +15,64 @@
 logger = logging.getLogger(__name__)
 
 LEASE_S = 1.5
-"""Seconds until the leader's key goes when it is not renewed: what a crash costs
-before a successor acts. The store takes no less than one second."""
+"""Duration of the leader's lease, in seconds: how long a crash delays a successor. The
+store accepts no less than one second."""
 
 RENEWAL_INTERVAL_S = 0.45
-"""Seconds between renewals: three may fail before the lease ends."""
+"""Seconds between lease renewals; three may fail before the lease ends."""
 
 RENEW_TIMEOUT_S = 0.7
-"""Seconds for a renewal's answer; a slow store takes a quarter of a second."""
+"""Timeout of a renewal, in seconds; a slow store takes a quarter of a second."""
 
 MAX_JITTER_S = 0.06
-"""Seconds over which candidates spread: the first usually wins before the others
-have spent calls on it."""
+"""Maximum random delay of a campaign, in seconds: the first candidate usually wins
+before the others have made any call."""
 
 
 SMALL_LINK_MBPS = 50.0
-"""Below it a VM takes seconds to read the records of a busy fleet."""
+"""Below this, a VM takes seconds to read the records of a busy fleet."""
 
 SMALL_PROCESSOR_CORES = 0.8
-"""Below it a VM is slow to schedule for some two hundred workers."""
+"""Below this, a VM is slow to schedule for some two hundred workers."""
 
 SMALL_VM_DELAY_S = 0.25
-"""Seconds for which a small VM lets others go first, for each of the two: longer
-than their jitter and their calls, shorter than what callers would notice."""
+"""Campaign delay, in seconds, for a small link and again for a small processor: longer
+than the jitter and the calls of other candidates, too short for callers to notice."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaderFitness:
-    """How well a VM can lead: its link, and the delay of its campaigns in seconds."""
+    """How well a VM can lead: its link, and its campaign delay in seconds."""
 
     link_mbps: float = 0.0
     delay_s: float = 0.0
 
     @property
     def has_small_link(self) -> bool:
-        """Tell whether its link is too small for the orders of a busy fleet."""
+        """Return whether the link is too small for the orders of a busy fleet."""
         return self.link_mbps < SMALL_LINK_MBPS
 
     def yields_to(self, other: "LeaderFitness") -> bool:
-        """Tell whether a leader of this standing gives way to the other VM.
+        """Return whether a leader of this fitness should hand over to the other VM.
 
-        Among VMs with small links nothing is gained that is worth a hand-over.
+        A handover between VMs with small links gains too little.
         """
         better = other.delay_s < self.delay_s and not other.has_small_link
         return self.has_small_link and better
 
 
 def choose_campaign_delay(*, processor_cores: float, link_mbps: float) -> float:
-    """Return for how long a VM lets larger ones go first, in seconds.
+    """Return how long a VM delays its campaigns in favour of larger VMs, in seconds.
 
-    A leader on a small VM keeps its lease and yet cannot read the records in time,
-    so that nothing is scheduled although somebody leads.
+    A leader on a small VM may keep its lease without being able to read the records in
+    time, so that nothing is scheduled although there is a leader.
     """
     small = (link_mbps < SMALL_LINK_MBPS) + (processor_cores < SMALL_PROCESSOR_CORES)
     return small * SMALL_VM_DELAY_S
 
 
 def measure_fitness(*, processor_cores: float, link_mbps: float) -> LeaderFitness:
-    """Return how well a VM of this size can lead."""
+    """Return the fitness to lead of a VM of this size."""
     delay_s = choose_campaign_delay(
         processor_cores=processor_cores, link_mbps=link_mbps
     )
@@ -88,21 +88,21 @@
 
 
 def decode_leader(value: bytes) -> LeaderRecord | None:
-    """Return the record, or None if it is none."""
+    """Return the decoded record, or None if it is malformed."""
     try:
         return msgspec.msgpack.decode(value, type=LeaderRecord)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        logger.warning("leader's record cannot be read: %s", error)
+        logger.warning("cannot decode the leader's record: %s", error)
         return None
 
 
 class Leadership:
-    """A leadership that was won: its token, and how long it is proved."""
+    """A leadership that this node holds: its fencing token and its lease."""
 
     def __init__(
         self, *, store: PlatformStore, lease: int, token: int, now: float, clock: Clock
     ) -> None:
-        """Hold the leadership under ``token`` since ``now``."""
+        """Hold the leadership with ``token``, under a lease requested at ``now``."""
         self._store = store
         self._clock = clock
         self.lease = lease
@@ -110,7 +110,7 @@
         self.lease_valid_until = now + LEASE_S
 
     async def renew(self) -> LeaseEnded:
-        """Renew the lease until it has ended."""
+        """Renew the lease periodically until it has ended."""
         while True:
             sent_at = self._clock.read_monotonic()
             answer = await self._store.renew_lease(
@@ -119,21 +119,21 @@
             if isinstance(answer, LeaseEnded):
                 return answer
             if answer is None:
-                # Counted from before the call: the store counts from its
+                # Counted from before the call, as the store counts from its
                 # arrival, which is later.
                 self.lease_valid_until = sent_at + LEASE_S
             spent = self._clock.read_monotonic() - sent_at
             await asyncio.sleep(max(0.05, RENEWAL_INTERVAL_S - spent))
 
     async def resign(self) -> None:
-        """Let the key go, so that a successor need not wait for the lease."""
+        """End the lease, so that a successor need not wait for its expiry."""
         failure = await self._store.end_lease(self.lease)
         if failure is not None:
-            logger.info("lease not ended: %s", failure.reason)
+            logger.info("failed to end the leader's lease: %s", failure.reason)
 
 
 class Campaign:
-    """Tries to win the leadership when nobody has it."""
+    """Tries to become leader while there is none."""
 
     def __init__(
         self,
@@ -145,7 +145,7 @@
         rng: random.Random,
         delay_s: float = 0.0,
     ) -> None:
-        """Campaign for ``incarnation`` at ``ip``, ``delay_s`` after the others."""
+        """Campaign for ``incarnation`` at ``ip``; delay each attempt by ``delay_s``."""
         self._delay_s = delay_s
         self._store = store
         self._ip = ip
@@ -154,7 +154,7 @@
         self._rng = rng
 
     async def try_once(self) -> Leadership | Item | None:
-        """Return the leadership, or the key of who has it, or None for neither."""
+        """Return the leadership, or the key of another leader, or None for neither."""
         await asyncio.sleep(self._delay_s + self._rng.uniform(0, MAX_JITTER_S))
         held = await self._store.read_item(LEADER)
         if isinstance(held, Item):
@@ -181,15 +181,15 @@
         if isinstance(result, Conflict):
             await self._store.end_lease(lease)
             return result.find(LEADER)
-        # Without an answer the key may be ours by now, or seconds later: the
-        # next look finds it there and gives it back.
+        # Without an answer the key may be written now or seconds later. A later
+        # attempt then finds it and ends its lease.
         return None
 
     async def _check_holder(self, held: Item) -> Item | None:
         record = decode_leader(held.value)
         if record is None or record.incarnation != self._incarnation:
             return held
-        # A write of ours without an answer was carried out after we had given
-        # it up. What we lead must begin from what the store holds now.
+        # An earlier write of this node took effect after it had timed out. End its
+        # lease and campaign again, to lead from the current contents of the store.
         await self._store.end_lease(record.lease)
         return None
--- a/src/firladder/_internal/node/fleet.py
+++ b/src/firladder/_internal/node/fleet.py
@@ -1,7 +1,7 @@
-"""Peers: who there is, who leads, and which configuration is the newest.
+"""Gossip between nodes: the peers, the leader and the newest configuration.
 
-Nothing that must be agreed on rests on this. It carries the configuration to
-nodes that the store turns away, and tells callers' nodes where the leader is.
+No agreement depends on it. It brings the configuration to nodes that cannot reach the
+store, and the address of the leader to all nodes.
 """
 
 import asyncio
@@ -28,38 +28,37 @@
 logger = logging.getLogger(__name__)
 
 GREETING_INTERVAL_S = 0.5
-"""Seconds between two greetings: a configuration that one node has reaches a
-node without the store within a second, inside the two that operators are
-promised."""
+"""Seconds between two rounds of greetings. A configuration known to one node reaches a
+node without the store within a second; operators are promised two."""
 
 GREET_TIMEOUT_S = 0.4
-"""Seconds for the answer; nodes are about a millisecond apart."""
+"""Timeout of a greeting, in seconds; nodes are about a millisecond apart."""
 
 HELPER_MAX_AGE_S = 3.0
-"""Seconds for which a peer that said so counts as one that reaches the store: some
-rounds of greetings. A peer that is gone for good would else be asked for ever: each
-question takes its whole time-out, and what became of it is not known."""
+"""Seconds for which a peer that reported reaching the store may be asked to write for
+this node: some rounds of greetings. Without a limit, a removed peer would be asked
+forever, and each request would time out with an unknown outcome."""
 
 PARTNER_PERIOD_S = 5.0
-"""Seconds for which the same peer is greeted before another is drawn. Each peer greeted
-is a connection with signs of life of its own: drawn anew each time, a node of a large
-fleet has one to every other, and these cost more than all that it does for callers."""
+"""Seconds for which the same random peer is greeted. Each greeted peer costs a
+connection with keepalives. If a peer were drawn for each round, a node of a large fleet
+would keep connections to all others, at a higher cost than all its work for callers."""
 
 DISCOVERY_PERIOD_S = 10.0
-"""Seconds after the start in which each round draws anew: a node must first learn who
-is in which failure domain. One that knows a single other domain takes itself for cut
-off when that one is."""
+"""Seconds after the start in which each round greets another random peer, to learn the
+existing failure domains. A node that knows only one other domain would consider itself
+partitioned when that domain is."""
 
 PEER_EXPIRY_S = 20.0
-"""Seconds of silence after which a peer is no longer greeted."""
+"""Seconds of silence after which a peer is forgotten."""
 
 MAX_PEERS_IN_REPLY = 16
-"""Peers named in one answer, drawn anew for each: an answer stays small, and a newcomer
-that greets some nodes a round knows a fleet of a hundred within seconds."""
+"""Maximum peers listed in one reply, a random sample each time. Replies stay small, and
+a new node learns of a fleet of a hundred within seconds."""
 
 
 class Fleet:
-    """This node's view of the other nodes."""
+    """Tracks the other nodes by exchanging greetings with them."""
 
     def __init__(
         self,
@@ -76,7 +75,7 @@
         reaches_store: Callable[[], bool],
         fitness: LeaderFitness | None = None,
     ) -> None:
-        """Know ``seeds`` (IP numbers) to begin with; greet as a VM of ``fitness``."""
+        """Begin with the peers ``seeds`` (IP addresses), as a VM of ``fitness``."""
         self._fitness = fitness or LeaderFitness()
         self._fitness_by_ip: dict[str, LeaderFitness] = {}
         self._reaches_store = reaches_store
@@ -115,11 +114,11 @@
 
     @property
     def leads(self) -> bool:
-        """Tell whether the leader known is this node."""
+        """Return whether this node is the known leader."""
         return self.leader_ip == self._ip
 
     def list_peers(self) -> list[str]:
-        """Return the IP numbers of all nodes that may be alive."""
+        """Forget expired peers and return the IP addresses of all others."""
         now = self._clock.read_monotonic()
         for ip in [
             ip for ip, at in self._last_heard_at.items() if now - at > PEER_EXPIRY_S
@@ -131,7 +130,7 @@
         return sorted({*self._last_heard_at, *self._seeds})
 
     def _list_peers_of_other_domains(self) -> list[str]:
-        """Return the peers that are known to be in other failure domains."""
+        """Return the peers known to be in other failure domains."""
         return [
             ip
             for ip in self.list_peers()
@@ -139,11 +138,11 @@
         ]
 
     def _choose_domain_contacts(self, chosen: Collection[str]) -> list[str]:
-        """Return whom to greet to learn whether other failure domains answer.
+        """Return the peers to greet to learn whether other failure domains answer.
 
-        Nodes of one's own domain answer also when the domain is cut off. One of each
-        other domain is greeted: a single one may be in the domain that is cut off. It
-        stays the same one as long as it answers.
+        Peers of the own domain also answer while the domain is partitioned. One peer
+        of each other domain without a peer in ``chosen`` is greeted, as a single domain
+        may be partitioned itself. It stays the same peer as long as it answers.
         """
         by_domain: dict[str, list[str]] = {}
         for ip in self._list_peers_of_other_domains():
@@ -167,7 +166,7 @@
         return self._partner
 
     def _replace_silent_peer(self, ip: str) -> None:
-        """Let the next round greet others than a peer that did not answer."""
+        """Let the next round greet other peers than ``ip``, which did not answer."""
         self._domain_contacts = {
             d: w for d, w in self._domain_contacts.items() if w != ip
         }
@@ -175,20 +174,19 @@
             self._partner = ""
 
     def measure_silence(self) -> float | None:
-        """Return for how long no node of another failure domain has answered.
+        """Return the seconds since a node of another failure domain answered.
 
-        In seconds; None if none ever has.
+        None if none ever has.
         """
         if self._other_domain_answered_at is None:
             return None
         return self._clock.read_monotonic() - self._other_domain_answered_at
 
     def find_store_helper(self) -> str | None:
-        """Return a peer that lately reached the store, the leader first.
+        """Return a peer that reached the store recently, preferably the leader.
 
-        When the store is down for all there is none: asking peers then only adds
-        messages that may be lost, and a caller that could be told "not stored"
-        would have to be told "unknown".
+        None during an outage of the store: messages to peers may be lost, so callers
+        would get "unknown" where "not stored" is certain without asking.
         """
         helpers = self._list_peers_with_store()
         if self.leader_ip in helpers:
@@ -196,12 +194,12 @@
         return self._rng.choice(helpers) if helpers else None
 
     def _list_peers_with_store(self) -> list[str]:
-        """Return the peers that lately reached the store."""
+        """Return the peers that reached the store recently."""
         since = self._clock.read_monotonic() - HELPER_MAX_AGE_S
         return [ip for ip, at in self._store_reached_at.items() if at >= since]
 
     def list_fitness(self) -> list[LeaderFitness]:
-        """Return how well the peers could lead that lately reached the store."""
+        """Return the fitness to lead of the peers that reached the store recently."""
         return [
             self._fitness_by_ip[ip]
             for ip in self._list_peers_with_store()
@@ -209,7 +207,7 @@
         ]
 
     def forget_store_helper(self, ip: str) -> None:
-        """Ask a peer no more until it says again that it reaches the store."""
+        """Do not use a peer as helper until it reports reaching the store again."""
         self._store_reached_at.pop(ip, None)
 
     def _record_store_reach(self, ip: str, *, reached: bool) -> None:
@@ -219,7 +217,7 @@
             self.forget_store_helper(ip)
 
     def record_leader(self, ip: str, token: int) -> None:
-        """Take the leader with the highest token."""
+        """Record a leader unless one with as high a token is known."""
         if token <= self.leader_token:
             return
         self.leader_ip, self.leader_token = ip, token
@@ -227,26 +225,26 @@
             listener()
 
     def forget_leader(self, token: int) -> None:
-        """Note that the leader with ``token`` has gone."""
+        """Record that the leader with ``token`` no longer leads."""
         if token >= self.leader_token:
             self.leader_ip = ""
 
     async def ask(
         self, ip: str, body: AnyBody, *, timeout_s: float
     ) -> AnyBody | PeerUnreachable:
-        """Ask a node."""
+        """Send a message to the node at ``ip`` and return its reply."""
         return await self._fabric.ask(f"{ip}:{self._port}", body, timeout_s=timeout_s)
 
     async def ask_leader(
         self, body: AnyBody, *, timeout_s: float
     ) -> AnyBody | PeerUnreachable:
-        """Ask the leader known at the moment."""
+        """Send a message to the known leader and return its reply."""
         if not self.leader_ip:
             return PeerUnreachable(reason="no leader is known")
         return await self.ask(self.leader_ip, body, timeout_s=timeout_s)
 
     def start(self) -> None:
-        """Greet peers until closed."""
+        """Start to greet peers in the background."""
         self._tasks.spawn(self._greet_forever(), name="greet")
 
     async def close(self) -> None:
@@ -259,7 +257,7 @@
             await asyncio.sleep(GREETING_INTERVAL_S * self._rng.uniform(0.8, 1.2))
 
     def greet_peers(self) -> None:
-        """Greet the peers of one round in the background."""
+        """Greet this round's peers in the background."""
         peers = self.list_peers()
         chosen = {self._choose_partner(peers)} if peers else set()
         if self.leader_ip and not self.leads:
--- a/src/firladder/_internal/node/handover.py
+++ b/src/firladder/_internal/node/handover.py
@@ -1,7 +1,7 @@
-"""Give the leadership of a VM with a small link to one with a larger link.
+"""Hand the leadership over from a VM with a small link to one with a larger link.
 
-Large VMs stand for leader first, yet after an outage of the store a small one may be
-the first to learn that nobody leads. Behind its link every order and record waits.
+Large VMs campaign first, but after a store outage a small VM may be the first to learn
+that there is no leader. Its link would then delay every order and record.
 """
 
 import asyncio
@@ -10,19 +10,20 @@
 from .election import LeaderFitness
 
 HANDOVER_DELAY_S = 5.0
-"""Seconds of a term before it may be handed over. A node whose watch of the key fell
-silent notices within 4.6 s: given back sooner, the key may go to the next small VM."""
+"""Initial seconds of a term before it may be handed over. A node whose watch of the key
+was interrupted notices within 4.6 s; released sooner, the key may go to another small
+VM."""
 
 MAX_HANDOVER_DELAY_S = 80.0
-"""The same at most. It doubles with each hand-over: where the larger VMs cannot take
-over, a small one must not change places with itself again and again."""
+"""Maximum of the same delay, which doubles with each handover: a small VM must not hand
+over to itself again and again while the larger VMs cannot take over."""
 
 CHECK_INTERVAL_S = 0.5
-"""Seconds between two looks at who could lead; nodes greet the leader as often."""
+"""Seconds between two checks of the candidates; nodes greet the leader as often."""
 
 
 class LeadershipHandover:
-    """Tells when a leader should give way."""
+    """Decides when a leader should hand over."""
 
     def __init__(
         self,
@@ -31,9 +32,9 @@
         list_candidates: Callable[[], Iterable[LeaderFitness]],
         reaches_store: Callable[[], bool],
     ) -> None:
-        """Judge for a VM of standing ``own``.
+        """Decide for a VM of fitness ``own``.
 
-        ``list_candidates`` gives the standings of the peers that reach the store now.
+        ``list_candidates`` returns the fitness of the peers that can reach the store.
         """
         self._own = own
         self._list_candidates = list_candidates
@@ -41,14 +42,14 @@
         self._delay_s = HANDOVER_DELAY_S
 
     async def wait_until_due(self) -> None:
-        """Return when the term that begins now should be handed over, if ever."""
+        """Wait until the term that begins now should be handed over."""
         await asyncio.sleep(self._delay_s)
         while not self._is_due():
             await asyncio.sleep(CHECK_INTERVAL_S)
         self._delay_s = min(2 * self._delay_s, MAX_HANDOVER_DELAY_S)
 
     def _is_due(self) -> bool:
-        # Without the store the key cannot be given back, and nobody could take it.
+        # During a store outage the key can neither be released nor be acquired.
         return self._reaches_store() and any(
             map(self._own.yields_to, self._list_candidates())
         )
--- a/src/firladder/_internal/node/partition.py
+++ b/src/firladder/_internal/node/partition.py
@@ -1,4 +1,4 @@
-"""Tell whether this node is cut off from the rest of the fleet and from the store."""
+"""Detect that this node is partitioned from other failure domains and the store."""
 
 import asyncio
 
@@ -10,27 +10,27 @@
 
 SILENCE_LIMIT_S = 0.9
 """Seconds without an answer from any node of another failure domain after which this
-node doubts its way out: two greetings in a row, to different nodes."""
+node suspects a partition: two rounds of greetings, to different nodes."""
 
 CHECK_INTERVAL_S = 0.2
-"""Seconds between two looks at how long the others have been silent."""
+"""Seconds between two checks of the other failure domains' silence."""
 
 PROBE_INTERVAL_S = 1.0
-"""Seconds between two probes of a store that answers: where the other domains are away
-for good, each node goes on asking, and each call is priced."""
+"""Seconds between two probes of a store that answers. Each call is billed, and nodes
+keep probing if the other domains are gone for good."""
 
 PROBE_TIMEOUT_S = 0.4
-"""Seconds for the store's answer to a doubtful node; a slow store takes 0.25 s."""
+"""Timeout of a probe of the store, in seconds; a slow store takes 0.25 s."""
 
 
 def is_partitioned(*, others_silent_s: float | None, store_away_s: float) -> bool:
-    """Tell whether a node can serve nobody that another node could not serve better.
+    """Return whether a node should send its callers to other failure domains.
 
-    Answers a failure domain that is cut off while its callers still reach it: its nodes
-    can store nothing, nor through a peer, and each caller is refused until it gives up,
-    though every other domain would serve it. An outage of the store alone is no reason:
-    other nodes answer then, and are no better off. ``others_silent_s`` is None where no
-    node of another domain is known: then nobody could serve the callers instead.
+    In a partitioned failure domain that callers still reach, nodes can store nothing,
+    not even through a peer, and would reject each caller although the other domains
+    could serve it. An outage of the store alone does not count: other nodes answer then
+    and are no better off. ``others_silent_s`` is None if no node of another domain is
+    known: no node could serve the callers instead.
     """
     if others_silent_s is None or store_away_s <= 0:
         return False
@@ -38,12 +38,12 @@
 
 
 class PartitionDetector:
-    """Watches the ways out of this node."""
+    """Monitors whether this node reaches other failure domains and the store."""
 
     def __init__(
         self, *, fleet: Fleet, store: PlatformStore, clock: Clock, timeline: Timeline
     ) -> None:
-        """Take this node for connected until the others fall silent."""
+        """Begin in the state not partitioned."""
         self._fleet = fleet
         self._store = store
         self._clock = clock
@@ -52,12 +52,12 @@
         self.partitioned = False
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Check periodically until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             if self._needs_probe():
-                # A node without callers asks the store little: without a probe it
-                # would learn only from the next caller that the store is away.
+                # A node without callers rarely uses the store: without a probe it
+                # would notice a store outage only with the next caller.
                 self._probed_at = self._clock.read_monotonic()
                 await self._store.read_item(LEADER, timeout_s=PROBE_TIMEOUT_S)
             self._update()
