--- a/src/firladder/_internal/node/__init__.py
+++ b/src/firladder/_internal/node/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon of an entry VM: it takes jobs, and one of the fleet schedules them."""
+"""The daemon of an entry VM: accepts jobs; one elected node schedules them."""
--- a/src/firladder/_internal/node/daemon.py
+++ b/src/firladder/_internal/node/daemon.py
@@ -1,4 +1,4 @@
-"""The process of an entry VM: intake, membership, and now and then leadership."""
+"""The process of an entry VM: client API, membership and, if elected, leadership."""
 
 import asyncio
 import logging
@@ -44,39 +44,39 @@
 logger = logging.getLogger(__name__)
 
 ANNOUNCE_TIMEOUT_S = 0.3
-"""Seconds for the leader to take an announcement; its watch is the backstop."""
+"""Timeout of an announcement to the leader, in seconds; its watch is the backup."""
 
 UNREADY_PERIOD_S = 2.6
-"""Seconds between saying 'not ready' and closing the listener at a stop: the
-balancer asks once a second and believes the second refusal."""
+"""Seconds between reporting 'not ready' and closing the listener at a stop: the load
+balancer checks once a second and reacts to the second failure."""
 
 OPEN_CALLS_TIMEOUT_S = 1.5
-"""Seconds for the calls that are open when the listener closes."""
+"""Seconds for finishing the calls that are open when the listener closes."""
 
 FINAL_CALLS_TIMEOUT_S = 0.8
-"""Seconds for the calls that are still open when all other connections are closed; the
+"""Seconds for finishing the calls still open after idle connections are closed; the
 platform kills the process a second later."""
 
 CAMPAIGN_PAUSE_S = 0.25
-"""Seconds between two tries to become leader while nobody leads."""
+"""Seconds between two campaigns while there is no leader."""
 
 SLOW_LOAD_PAUSE_S = 1.0
-"""The same after a term in which the records were not read in time."""
+"""Seconds until the next campaign after a term whose records were not read in time."""
 
 MAX_WORKER_CONNECTIONS = 4
-"""Connections to a worker at most: a look that waits, a quick one, and orders."""
+"""Maximum connections to a worker: a waiting poll, an immediate poll, and orders."""
 
 MAX_STORE_CONNECTIONS = 16
-"""Connections to the store at most: some watches that wait, and calls for callers."""
+"""Maximum connections to the store: some open watches, and calls made for callers."""
 
 
 class Node:
-    """The daemon: its parts, and how they hear of each other."""
+    """The node daemon; creates its components and connects them."""
 
     def __init__(self, settings_path: str) -> None:
-        """Read the settings and build all parts; nothing listens yet."""
+        """Read the settings and create all components; nothing listens yet."""
         self.settings_path = settings_path
-        # Made before the file is read: a change in between is then seen.
+        # Created before the file is read, so that a change in between is detected.
         self._settings_file = WatchedFile(settings_path)
         self.settings: NodeSettings = read_node_settings(settings_path)
         self.rng = random.Random()
@@ -170,7 +170,7 @@
         PeerHandlers(self).register()
 
     async def run(self) -> None:
-        """Serve until told to stop, then leave gracefully."""
+        """Serve until a signal arrives, then shut down gracefully."""
         self._install_signal_handlers()
         self.timeline.record(
             Event.NODE_STARTED,
@@ -219,21 +219,21 @@
             loop.add_signal_handler(number, self._stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
 
-    # -- settings ---------------------------------------------------------------
+    # -- settings ------------------------------------------------------------------
 
     def _reload_settings(self) -> None:
         try:
             fresh = read_node_settings(self.settings_path)
         except SettingError as error:
-            # A file that is half written or wrong must not end a process that
-            # serves: it goes on with what it had.
+            # A partly written or invalid file must not end a running process: it
+            # keeps its settings.
             self.timeline.record(Event.SETTINGS_REFUSED, reason=str(error))
             return
         self.settings = fresh
         self.store.address = fresh.store_address
         self.timeline.record(Event.SETTINGS_RELOADED, store=fresh.store_address)
 
-    # -- what the store says ------------------------------------------------------
+    # -- store watches -------------------------------------------------------------
 
     def _make_watch(
         self,
@@ -255,7 +255,7 @@
         )
 
     def measure_confirmation_age(self) -> float | None:
-        """Return the seconds since the store told the newest configuration.
+        """Return the seconds since the store confirmed the newest configuration.
 
         None if it never has.
         """
@@ -314,7 +314,7 @@
         if term is not None and self.fleet.leader_token > term.leadership.token:
             term.step_down("another node leads")
 
-    # -- leading --------------------------------------------------------------------
+    # -- leadership ----------------------------------------------------------------
 
     async def _lead_forever(self) -> None:
         campaign = Campaign(
@@ -363,7 +363,7 @@
             await leadership.resign()
         else:
             due.cancel()
-        # Where no other node takes over, this one must have the time it needs.
+        # If no other node takes over, this one needs more time for its next term.
         self._load_timeout_s = (
             2 * self._load_timeout_s if term.load_timed_out else LOAD_TIMEOUT_S
         )
@@ -375,30 +375,30 @@
         term.step_down("a VM with a larger link can lead")
 
     def announce(self, body: AnyBody) -> None:
-        """Tell the leader in the background."""
+        """Announce a stored record to the leader in the background."""
         self._tasks.spawn(self.announce_now(body), name="announce")
 
     async def announce_now(self, body: AnyBody) -> None:
-        """Tell the leader; if that fails, it hears of it by its own watch."""
+        """Announce a stored record to the leader, whose watch is the backup."""
         if self.term is not None and self.term.ready:
             apply_announcement(self.term, body)
             return
         await self.fleet.ask_leader(body, timeout_s=ANNOUNCE_TIMEOUT_S)
 
-    # -- what operators see ------------------------------------------------------------
+    # -- state for operators -------------------------------------------------------
 
     @property
     def ready(self) -> bool:
-        """Tell whether new connections shall come here."""
+        """Return whether the load balancer should send new connections here."""
         known = bool(self.configuration.version)
         return known and not self.leaving and not self.partition_detector.partitioned
 
     @property
     def draining(self) -> bool:
-        """Tell whether callers shall open their next connection elsewhere."""
+        """Return whether callers should open their next connection elsewhere."""
         return self._closing or self.partition_detector.partitioned
 
     def record_call(self, method: str, status: int, spent_s: float) -> None:
-        """Count an answered call."""
+        """Record an answered call in the metrics."""
         self.calls[method, status] += 1
         self.metrics.observe(method, status, spent_s)
--- a/src/firladder/_internal/node/evacuations.py
+++ b/src/firladder/_internal/node/evacuations.py
@@ -1,4 +1,4 @@
-"""Follow the operators' requests to keep new work out of failure domains."""
+"""Apply the operators' requests to evacuate failure domains."""
 
 from collections.abc import Callable
 
@@ -9,23 +9,23 @@
 
 
 class Evacuations:
-    """Tells the core which failure domains get nothing new, and logs the changes."""
+    """Keeps the core's evacuated failure domains up to date and records changes."""
 
     def __init__(
         self, *, core: Core, timeline: Timeline, on_change: Callable[[], None]
     ) -> None:
-        """Steer ``core``; call ``on_change`` when it should plan again."""
+        """Update ``core``; call ``on_change`` after each update."""
         self._core = core
         self._timeline = timeline
         self._on_change = on_change
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take all requests that stand."""
+        """Apply a listing of all current requests."""
         domains = (decode_evacuated_domain(item.key) for item in listing.items)
         self._set_domains(frozenset(domains))
 
     def apply_change(self, change: Change) -> None:
-        """Take one request, or the end of one."""
+        """Apply a new request or the end of one."""
         domain = frozenset((decode_evacuated_domain(change.key),))
         if change.value is None:
             self._set_domains(self._core.evacuated - domain)
--- a/src/firladder/_internal/node/keys.py
+++ b/src/firladder/_internal/node/keys.py
@@ -1,13 +1,13 @@
-"""Where the fleet keeps its records in the store."""
+"""Keys and prefixes of the fleet's records in the store."""
 
 LEADER = "firladder/leader"
-"""Who leads: an address, under a lease. Its revision is the fencing token."""
+"""The leader's record, under a lease. The key's revision is the fencing token."""
 
 SUBMISSIONS = "firladder/in/"
-"""Records that any node creates: accepted jobs and cancellations."""
+"""Records that any node may create: accepted jobs and cancellations."""
 
 JOBS = SUBMISSIONS + "j/"
 CANCELS = SUBMISSIONS + "c/"
 
 PROGRESS = "firladder/run/"
-"""Records that the leader alone writes: what became of each job."""
+"""Records that only the leader writes: the progress of each job."""
--- a/src/firladder/_internal/node/metrics.py
+++ b/src/firladder/_internal/node/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of a node."""
+"""Prometheus metrics of a node."""
 
 import resource
 from typing import TYPE_CHECKING
@@ -12,10 +12,10 @@
 
 
 class NodeMetrics:
-    """Metrics of one node; units are in the names."""
+    """Metrics of one node; metric names include the unit."""
 
     def __init__(self) -> None:
-        """Register all metrics in a registry of this process's own."""
+        """Register all metrics in a new registry."""
         self.registry = Registry()
         self.calls = Counter(
             "firladder_client_calls_total",
@@ -88,17 +88,17 @@
         )
 
     def observe(self, method: str, status: int, spent_s: float) -> None:
-        """Count one answered call."""
+        """Record one answered client call."""
         self.calls.inc({"method": method, "status": str(status)})
         self.latency.observe({"method": method}, spent_s)
 
     def observe_order(self, kind: str, waited_s: float, took_s: float) -> None:
-        """Count one order to a worker."""
+        """Record one order to a worker."""
         self.order_waits.observe({"kind": kind}, waited_s)
         self.order_answers.observe({"kind": kind}, took_s)
 
     def collect(self, node: "Node") -> None:
-        """Refresh what is read when it is asked for."""
+        """Update the gauges from the current state of ``node``."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self.memory.set({}, usage.ru_maxrss * 1024)
         self.processor.set({}, usage.ru_utime + usage.ru_stime)
@@ -132,7 +132,7 @@
             self.workers.set({"reachable": str(reachable).lower()}, len(found))
 
     def render(self) -> tuple[bytes, str]:
-        """Return all metrics in the Prometheus text format, and its type."""
+        """Return all metrics in the Prometheus text format, and the content type."""
         content, headers = render(self.registry, ["text/plain"])
         return content, headers.get("Content-Type", "text/plain")
 
--- a/src/firladder/_internal/node/operations.py
+++ b/src/firladder/_internal/node/operations.py
@@ -1,4 +1,4 @@
-"""Answer the balancer and the operators."""
+"""HTTP endpoints for the load balancer and operators."""
 
 from typing import TYPE_CHECKING
 
@@ -13,14 +13,14 @@
 
 @READY.route("GET", "/-/ready")
 async def report_readiness(node: "Node", call: HttpCall) -> HttpReply:
-    """Tell the balancer whether to send new connections here."""
+    """Report to the load balancer whether to send new connections here."""
     ready = node.ready
     return reply_json({"ready": ready}, status=200 if ready else 503)
 
 
 @METRICS.route("GET", "/metrics")
 async def show_metrics(node: "Node", call: HttpCall) -> HttpReply:
-    """Return all metrics as text."""
+    """Return all metrics in the Prometheus text format."""
     node.metrics.collect(node)
     content, content_type = node.metrics.render()
     return HttpReply(200, content, content_type)
@@ -28,7 +28,7 @@
 
 @METRICS.route("GET", "/events")
 async def list_events(node: "Node", call: HttpCall) -> HttpReply:
-    """Return this process's part of the time line."""
+    """Return this process's timeline events after the number ``after``."""
     after = call.query.get("after", "0")
     events = node.timeline.list_events(after=int(after) if after.isdigit() else 0)
     return reply_json({"events": events})
--- a/src/firladder/_internal/node/prefix_watch.py
+++ b/src/firladder/_internal/node/prefix_watch.py
@@ -1,4 +1,4 @@
-"""Follow a prefix of the store through cuts, lost history and silence."""
+"""Watch a prefix of the store across failures and compacted history."""
 
 import asyncio
 import logging
@@ -14,26 +14,26 @@
 logger = logging.getLogger(__name__)
 
 WATCH_WAIT_S = 4.0
-"""Seconds that one watch waits. A connection that has fallen silent is noticed
-when they are over; each wait is one priced call, so shorter ones cost more."""
+"""Seconds that one watch call waits. A silent connection is only noticed after them,
+but each call is billed, so shorter waits cost more."""
 
 RETRY_S = 0.15
-"""Seconds until a failed call is made again; it doubles up to ``MAX_RETRY_S``."""
+"""Initial seconds before a failed call is retried; doubles up to ``MAX_RETRY_S``."""
 
 MAX_RETRY_S = 0.6
 
 
 CHANGES_FACTOR = 3
-"""Bytes of changes that are read where only the newest counts, as a multiple of the
-state's own: two versions in base64. More are read faster as one new listing."""
+"""Maximum bytes of changes to read where only the newest counts, as a multiple of the
+state's size: two versions in base64. A new listing is faster than more."""
 
 MIN_CHANGES_LIMIT_BYTES = 600_000
-"""Bytes of changes that are read however small the state is: what a link of 5 Mbit/s
-carries in a second."""
+"""Minimum of that limit, in bytes, for a small state: what a link of 5 Mbit/s carries
+in a second."""
 
 
 class PrefixWatch:
-    """Reports the items of a prefix once as a whole, then each change."""
+    """Reports the items below a prefix in one listing, then each change."""
 
     def __init__(
         self,
@@ -49,11 +49,11 @@
         start: Listing | None = None,
         newest_only: bool = False,
     ) -> None:
-        """Follow ``prefix``, going on from ``start`` if it was read already.
+        """Watch ``prefix``, continuing from ``start`` if it was listed already.
 
-        With ``newest_only``, a watch that failed goes on from a new listing. A node
-        that missed many large changes would have to read them all, which may be more
-        than an answer holds.
+        With ``newest_only``, a failed watch continues from a new listing. Otherwise a
+        node that missed many large changes would have to read them all, which may
+        exceed the maximum size of a response.
         """
         self._newest_only = newest_only
         self._state_bytes = 0
@@ -73,7 +73,7 @@
         self._failed = False
 
     async def run(self) -> None:
-        """Follow the prefix until cancelled."""
+        """Watch the prefix until cancelled."""
         pause_s = RETRY_S
         while True:
             self._failed = not await self._step()
@@ -86,9 +86,9 @@
     async def _step(self) -> bool:
         if self._revision is None or (self._failed and self._newest_only):
             return await self._list()
-        # After a failure the first watch does not wait: one that does is not
-        # answered until something changes, and the node would go on for seconds
-        # as one that the store turns away.
+        # After a failure the first watch does not wait. One that waits is not
+        # answered until something changes, and for seconds the node would not
+        # notice that the store is reachable again.
         found = await self._store.watch(
             self.prefix,
             after=self._revision,
@@ -96,8 +96,8 @@
             most_bytes=self._choose_max_bytes(),
         )
         if isinstance(found, HistoryLost):
-            # What happened in between is lost: only a new listing shows it.
-            logger.info("listing %s again: %s", self.prefix, found.reason)
+            # The missed changes are lost: only a new listing shows the state.
+            logger.info("relisting %s: %s", self.prefix, found.reason)
             self._record_answer()
             self._revision = None
             return True
--- a/src/firladder/_internal/node/progress_writer.py
+++ b/src/firladder/_internal/node/progress_writer.py
@@ -1,4 +1,4 @@
-"""Make the leader's decisions durable, many jobs a transaction."""
+"""Write the progress of jobs to the store, many jobs per transaction."""
 
 import asyncio
 import itertools
@@ -16,23 +16,23 @@
 logger = logging.getLogger(__name__)
 
 MAX_JOBS_PER_WRITE = (MAX_ENTRIES - 1) // 2
-"""Jobs of one transaction: each takes a comparison and a write, the leader's own
-key one comparison."""
+"""Maximum jobs of one transaction: each takes one comparison and one write, and the
+leader's key one comparison."""
 
 RETRY_S = 0.1
-"""Seconds until a write that the store turned away is tried again."""
+"""Seconds before a failed write is retried."""
 
 BATCH_DELAY_S = 0.002
-"""Seconds for which changes are gathered: ends come in groups, and each write is
-a priced call that takes the store 4 ms."""
+"""Seconds for which changes are collected into one write: runs end in groups, and each
+write is billed and takes the store 4 ms."""
 
 
 class ProgressWriter:
-    """Writes each changed job's progress under the leader's own key.
+    """Writes the progress of changed jobs while the leader's key is this node's.
 
-    A write whose answer was lost may be carried out seconds later. Each write
-    therefore compares the revision of the record that it replaces: the late one
-    then finds it changed and has no effect.
+    A write whose answer was lost may take effect seconds later. Each write therefore
+    compares the revision of the record that it replaces, so that a late write finds it
+    changed and has no effect.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         clock: Clock,
         on_durable: Callable[[], None],
     ) -> None:
-        """Write under the leader key of revision ``token``."""
+        """Write while the leader's key has the revision ``token``."""
         self._core = core
         self._store = store
         self._token = token
@@ -56,12 +56,12 @@
         self.writes = 0
 
     def wake(self) -> None:
-        """Write what has changed, soon."""
+        """Write the changed jobs soon."""
         if self._core.dirty:
             self._wake.set()
 
     async def run(self) -> NotLeader:
-        """Write until another leads; return that failure."""
+        """Write until another node leads; return that failure."""
         while True:
             await self._wake.wait()
             await asyncio.sleep(BATCH_DELAY_S)
@@ -108,11 +108,16 @@
     ) -> NotLeader | None:
         leader = conflict.find(LEADER)
         if leader is None or leader.revision != self._token:
-            return NotLeader(reason="the leader's key is another's, or gone")
-        # Only this leader writes progress while the key is its own, so a record
-        # that changed was changed by a write of ours whose answer was lost.
+            return NotLeader(
+                reason="the leader's key belongs to another node or is gone"
+            )
+        # Only the leader writes progress, so a changed record was changed by an
+        # earlier write of this term whose answer was lost.
         for job_id in job_ids:
             item = conflict.find(PROGRESS + job_id)
             self._revisions[job_id] = item.revision if item is not None else 0
-        logger.info("late write found", extra={"jobs": len(job_ids)})
+        logger.info(
+            "conflict with an earlier write of this leader",
+            extra={"jobs": len(job_ids)},
+        )
         return None
--- a/src/firladder/_internal/node/retention.py
+++ b/src/firladder/_internal/node/retention.py
@@ -1,4 +1,4 @@
-"""Forget ended jobs when the time for which callers may ask for them is over."""
+"""Delete ended jobs after the time for which callers may read their state."""
 
 import asyncio
 import logging
@@ -12,17 +12,17 @@
 logger = logging.getLogger(__name__)
 
 SWEEP_INTERVAL_S = 15.0
-"""Seconds between two searches for jobs to forget."""
+"""Seconds between two sweeps."""
 
 MAX_JOBS_PER_SWEEP = 8
-"""Jobs forgotten in one search at most, a write each: the store takes few a second."""
+"""Maximum jobs deleted in one sweep, one write each: the store takes few a second."""
 
 RETENTION_MARGIN_S = 30.0
-"""Seconds that an ended job is kept beyond what callers are promised."""
+"""Seconds that an ended job is kept beyond the time promised to callers."""
 
 
 class Retention:
-    """Removes what the store and the core hold of jobs that ended long ago."""
+    """Deletes jobs that ended long ago from the store and the core."""
 
     def __init__(
         self,
@@ -33,7 +33,11 @@
         kept_s: float,
         revisions: dict[str, int],
     ) -> None:
-        """Keep ended jobs for ``kept_s`` seconds; ``revisions`` are the records'."""
+        """Keep ended jobs for ``kept_s`` seconds.
+
+        ``revisions`` holds the revision of each progress record, by job ID; those of
+        deleted jobs are removed.
+        """
         self._core = core
         self._store = store
         self._clock = clock
@@ -41,7 +45,7 @@
         self._revisions = revisions
 
     async def run(self) -> None:
-        """Search for old jobs now and then."""
+        """Sweep periodically until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             await self._sweep()
@@ -59,7 +63,7 @@
             keys = [JOBS + job_id, CANCELS + job_id, PROGRESS + job_id]
             result = await self._store.commit(expected=[], remove=keys)
             if isinstance(result, Failure):
-                logger.info("old job not removed: %s", result.reason)
+                logger.info("failed to delete an old job: %s", result.reason)
                 return
             self._core.forget_job(job_id)
             self._revisions.pop(job_id, None)
--- a/src/firladder/_internal/node/term.py
+++ b/src/firladder/_internal/node/term.py
@@ -1,4 +1,4 @@
-"""One term of leadership: the scheduling core with its sockets around it."""
+"""One term of leadership: runs the scheduling core and does its network I/O."""
 
 import asyncio
 import logging
@@ -39,26 +39,25 @@
 T = TypeVar("T")
 
 ObserveOrder = Callable[[str, float, float], None]
-"""Takes an order's kind, how long it waited for others, and how long its answer took,
-both in seconds."""
+"""Receives an order's kind, its time in the queue and its response time, in seconds."""
 
 TICK_S = 0.25
-"""Seconds between two looks at the clock: lapses, stalls, repeated stops."""
+"""Seconds between two checks for expired runs, stalled runs and repeated stops."""
 
 PASS_DELAY_S = 0.004
-"""Seconds for which events are gathered before a pass; the tasks of a gang end
-within a few milliseconds of each other."""
+"""Seconds for which events are collected before a planning pass; the tasks of a gang
+end within a few milliseconds of each other."""
 
 LOAD_TIMEOUT_S = 4.0
-"""Seconds for reading the records; a leader that takes longer gives way to a node
-with a better way to the store, for nothing is scheduled meanwhile."""
+"""Timeout for reading the records, in seconds. A slower leader resigns in favour of a
+node with a better connection to the store, as nothing is scheduled meanwhile."""
 
 READ_RETRY_S = 0.1
-"""Seconds until a list that the store did not give is asked for again."""
+"""Seconds before a failed listing is retried."""
 
 
 class Term:
-    """Everything that a leader does from its election to its end."""
+    """Leads the fleet from an election until the leadership ends."""
 
     def __init__(
         self,
@@ -73,7 +72,7 @@
         on_order: ObserveOrder,
         load_timeout_s: float = LOAD_TIMEOUT_S,
     ) -> None:
-        """Lead under ``leadership``; nothing is read or sent yet."""
+        """Prepare to lead under ``leadership``; nothing is read or sent yet."""
         self._load_timeout_s = load_timeout_s
         self._on_order = on_order
         self.load_timed_out = False
@@ -119,10 +118,10 @@
 
     @property
     def may_renew(self) -> bool:
-        """Tell whether leases at workers may still be renewed.
+        """Return whether leases of workers may still be renewed.
 
-        Without the store a leader goes on for a while: the outage is likely the
-        store's own. A successor reckons with just that while.
+        Without the store a leader continues for a limited time, as the store itself is
+        likely down. A successor waits for that time before it reuses the workers.
         """
         return (
             self.clock.read_monotonic()
@@ -135,24 +134,24 @@
             self._ended.set_result(reason)
 
     def spawn(self, work: Coroutine[Any, Any, T], *, name: str) -> asyncio.Task[T]:
-        """Run ``work`` until it ends, or the term does."""
+        """Run ``work`` until it or the term ends."""
         return self._tasks.spawn(work, name=name)
 
     def request_pass(self) -> None:
-        """Plan and write what an event has changed, soon."""
+        """Schedule a planning pass and a write of changed jobs."""
         self._pass_requested.set()
 
     def record_order(self, kind: str, waited_s: float, took_s: float) -> None:
-        """Count an order that waited for others and was then sent."""
+        """Record how long a sent order was queued and how long its answer took."""
         self._on_order(kind, waited_s, took_s)
 
     def adopt_configuration(self, configuration: QueueConfiguration) -> None:
-        """Schedule by a new configuration from now on."""
+        """Schedule by ``configuration`` from now on."""
         self.core.configuration = configuration
         self.request_pass()
 
     async def run(self) -> str:
-        """Lead until the term ends; return why it did."""
+        """Lead until the term ends; return the reason for its end."""
         renew = self._tasks.spawn(self.leadership.renew(), name="renew-leadership")
         renew.add_done_callback(lambda _: self.step_down("the lease has ended"))
         load = self._tasks.spawn(self._load_and_start(), name="load")
@@ -176,7 +175,7 @@
             self._start_loops()
 
     async def close(self) -> None:
-        """End the term and give the leadership back."""
+        """End the term and resign the leadership."""
         self.step_down("this process stops")
         await self.leadership.resign()
 
@@ -192,7 +191,7 @@
         if not task.cancelled() and task.exception() is None:
             self.step_down(task.result().reason)
 
-    # -- reading what the store holds ----------------------------------------
+    # -- loading and watching the store --------------------------------------------
 
     async def _load(self) -> bool:
         submissions = await self._read_prefix(SUBMISSIONS)
@@ -211,7 +210,9 @@
             self._revisions[job_id] = item.revision
             found = decode_progress(item.value)
             if isinstance(found, MalformedBody):
-                logger.error("progress of %s cannot be read: %s", job_id, found.reason)
+                logger.error(
+                    "cannot decode the progress of job %s: %s", job_id, found.reason
+                )
                 continue
             recorded[job_id] = found
         for item in submissions.items:
@@ -301,7 +302,7 @@
             self.add_record(value, recorded.get(job_id))
 
     def add_record(self, value: bytes, progress: JobProgress | None = None) -> None:
-        """Take a stored job into the schedule."""
+        """Add a stored job to the schedule."""
         accepted = decode_accepted(value)
         if isinstance(accepted, MalformedBody):
             logger.warning("stored job left out: %s", accepted.reason)
@@ -360,7 +361,7 @@
         if self._sessions.get(worker.worker_id) is session:
             del self._sessions[worker.worker_id]
 
-    # -- deciding and ordering ------------------------------------------------
+    # -- planning and orders -------------------------------------------------------
 
     async def _plan_forever(self) -> None:
         while True:
