--- a/features/node_attendance.feature
+++ b/features/node_attendance.feature
@@ -1,14 +1,14 @@
 Feature: Workers that come back are found before their leases end
 
   Scenario Outline: A worker with runs is asked again soon, an idle one now and then
-    A failure domain is cut off for six seconds. The leases of what runs there have a second
-    or two left when it is back. Asked again only each second and a half, many a worker was
-    found too late: gangs with ten seconds of work lapsed a moment before.
-    Given a worker that <runs> and does not answer looks, each awaited for 0.6 s
-    When it has been out of reach for 6 s
-    Then a look leaves within <most> s of its return
+    A failure domain is partitioned for six seconds. When the partition ends, the leases
+    there have a second or two left. Polled only each second and a half, many workers
+    were reached too late: gangs with ten seconds of work had just expired.
+    Given a worker that <runs> and does not answer polls, each with a timeout of 0.6 s
+    When it has been unreachable for 6 s
+    Then a poll is sent within <max> s of its return
 
     Examples:
-      | runs           | most |
+      | runs           | max  |
       | holds our runs | 1.0  |
       | is idle        | 1.6  |
--- a/features/steps/node_attendance_steps.py
+++ b/features/steps/node_attendance_steps.py
@@ -6,15 +6,17 @@
 )
 
 
-@given("a worker that {state} and does not answer looks, each awaited for {wait:f} s")
+@given(
+    "a worker that {state} and does not answer polls, each with a timeout of {wait:f} s"
+)
 def lose_worker(context, state, wait):
     context.holds_runs = {"holds our runs": True, "is idle": False}[state]
     context.wait = wait
 
 
-@when("it has been out of reach for {seconds:d} s")
-def stay_away(context, seconds):
-    """Note when looks leave, and the longest time from one to the next."""
+@when("it has been unreachable for {seconds:d} s")
+def stay_unreachable(context, seconds):
+    """Record the longest time between two polls."""
     at, pause_s = 0.0, POLL_RETRY_PAUSE_S
     context.longest = 0.0
     while at < seconds:
@@ -24,6 +26,6 @@
         pause_s = increase_retry_pause(pause_s, holds_runs=context.holds_runs)
 
 
-@then("a look leaves within {most:f} s of its return")
-def check_soon(context, most):
-    assert context.longest <= most, context.longest
+@then("a poll is sent within {limit:f} s of its return")
+def check_soon(context, limit):
+    assert context.longest <= limit, context.longest
--- a/features/steps/node_configuration_steps.py
+++ b/features/steps/node_configuration_steps.py
@@ -23,17 +23,17 @@
 
 DOMAINS = 5
 ENVELOPE_BYTES = 120
-"""Bytes of an envelope and of the packet around it, roughly."""
+"""Approximate bytes of an envelope and its packet headers."""
 
 
 class Exchange:
-    """Carries messages between the nodes of a fleet and counts their bytes."""
+    """Delivers messages between the nodes of a fleet and counts their bytes."""
 
     def __init__(self):
         self.handlers = {}
         self.sent = {}
         self.greeted = collections.defaultdict(set)
-        self.given = 0
+        self.fetched = 0
         self.lose_adverts = False
 
     def join(self, ip):
@@ -62,7 +62,7 @@
         reply = await exchange.handlers[ip][type(body)](body)
         self._count(ip, reply)
         if isinstance(reply, QueuesReply) and reply.packed:
-            exchange.given += 1
+            exchange.fetched += 1
         return reply
 
     def _count(self, ip, body):
@@ -70,21 +70,21 @@
         self.exchange.sent[ip] += size
 
 
-@given("a fleet of {count:d} nodes of which the store turns {share} away")
+@given("a fleet of {count:d} nodes of which {share} can reach the store")
 def build_large_fleet(context, count, share):
     rng = random.Random(11)
     context.rng = rng
     context.exchange = Exchange()
     context.clock = LoopClock()
     ips = [f"10.{n % DOMAINS}.{n // 250}.{n % 250}" for n in range(count)]
-    turned_away = {"none": 0, "a third": count // 3}[share]
-    context.served = set(ips) - set(rng.sample(ips, turned_away))
+    unserved = {"all": 0, "two thirds": count // 3}[share]
+    context.served = set(ips) - set(rng.sample(ips, unserved))
     context.nodes = {}
     build_nodes(context, ips, rng, reaches_store=context.served)
 
 
 def build_nodes(context, ips, rng, *, reaches_store):
-    """Make a node of each address, all with version 1 and some sixty seeds."""
+    """Create a node for each address, with version 1 and up to sixty seeds."""
     for number, ip in enumerate(ips):
         configuration = ConfigurationCache()
         configuration.offer(b'{"version": 1}', source="test")
@@ -119,7 +119,7 @@
 
     async def change():
         for version in (2, 3, 4):
-            # Random, so that packing does not make light of its size.
+            # Random, so that compression does not reduce its size much.
             note = context.rng.randbytes(size // 2).hex()
             value = json.dumps({"version": version, "note": note}).encode()
             for ip in context.served:
@@ -154,7 +154,7 @@
     assert not versions, versions
 
 
-@then("no node's link of {mbps:d} Mbit/s was held for more than {seconds:f} s")
+@then("no node's link of {mbps:d} Mbit/s was busy for more than {seconds:f} s")
 def check_link(context, mbps, seconds):
     most = max(context.exchange.sent.values())
     assert most * 8 / (mbps * 1e6) <= seconds, most
@@ -167,8 +167,8 @@
 
 
 @then("no node was sent a configuration by a peer")
-def check_none_given(context):
-    assert context.exchange.given == 0, context.exchange.given
+def check_none_fetched(context):
+    assert context.exchange.fetched == 0, context.exchange.fetched
 
 
 @when("{first:d} s of greetings pass, and then {seconds:d} s more")
@@ -195,7 +195,7 @@
     assert context.busiest <= most, context.busiest
 
 
-@then("every node has heard of at least {count:d} others")
+@then("every node knows at least {count:d} others")
 def check_known(context, count):
     least = min(len(fleet.list_peers()) for fleet, _ in context.nodes.values())
     assert least >= count, least
--- a/features/steps/node_handover_steps.py
+++ b/features/steps/node_handover_steps.py
@@ -32,7 +32,7 @@
     context.reaches_store = False
 
 
-def gives_way(context, within_s):
+def hands_over(context, within_s):
     async def wait():
         try:
             await asyncio.wait_for(context.handover.wait_until_due(), within_s)
@@ -42,44 +42,44 @@
 
     results = []
 
-    async def note():
+    async def record():
         results.append(await wait())
 
-    play(note())
+    play(record())
     return results[0]
 
 
-@then("the leader gives way to it within {seconds:d} s")
-def check_way(context, seconds):
-    assert gives_way(context, seconds)
+@then("the leader hands over to it within {seconds:d} s")
+def check_handover(context, seconds):
+    assert hands_over(context, seconds)
 
 
-@then("the leader does not give way to it within {seconds:d} s")
-def check_no_way(context, seconds):
-    assert not gives_way(context, seconds)
+@then("the leader does not hand over to it within {seconds:d} s")
+def check_no_handover(context, seconds):
+    assert not hands_over(context, seconds)
 
 
-@when("the leadership comes back to it each time")
-def come_back(context):
-    context.given = 0
+@when("it is elected again each time")
+def elect_again(context):
+    context.handovers = 0
 
     async def lead():
         while True:
             await context.handover.wait_until_due()
-            context.given += 1
+            context.handovers += 1
 
     context.leading = lead
 
 
-@then("it gives way at most {most:d} times within {seconds:d} s")
-def check_times(context, most, seconds):
+@then("it hands over at most {limit:d} times within {seconds:d} s")
+def check_times(context, limit, seconds):
     async def lead_for():
         task = asyncio.create_task(context.leading())
         await asyncio.sleep(seconds)
         task.cancel()
 
     play(lead_for())
-    assert 1 <= context.given <= most, context.given
+    assert 1 <= context.handovers <= limit, context.handovers
 
 
 @given(
--- a/features/steps/node_isolation_steps.py
+++ b/features/steps/node_isolation_steps.py
@@ -15,7 +15,7 @@
 
 
 class SteppedClock:
-    """A clock that goes on only when the scenario says so."""
+    """A clock that advances only when the scenario does so."""
 
     def __init__(self):
         self.now = 1000.0
@@ -27,21 +27,21 @@
         return self.now
 
 
-class CutFabric:
-    """Peers that answer at once, or not at all while they are cut off."""
+class PartitionedFabric:
+    """Peers that answer at once, or not at all while they are unreachable."""
 
     def __init__(self, domains):
         self.domains = domains
-        self.cut = set()
+        self.unreachable = set()
         self.store_reachable = True
 
     def handle(self, kind, handler):
-        """Take a handler; nobody asks this node."""
+        """Ignore the handler: no peer sends requests to this node."""
 
     async def ask(self, address, body, *, timeout_s):
         ip = address.split(":")[0]
-        if ip in self.cut:
-            return PeerUnreachable(reason="cut off")
+        if ip in self.unreachable:
+            return PeerUnreachable(reason="partitioned")
         return NodeView(
             peers=tuple(self.domains),
             failure_domain=self.domains[ip],
@@ -49,7 +49,7 @@
         )
 
 
-@given("the other failure domains have been silent for {silent:f} s")
+@given("no node of another failure domain has answered for {silent:f} s")
 def fall_silent(context, silent):
     context.silent = silent
 
@@ -59,19 +59,21 @@
     context.silent = None
 
 
-@given("the store has been away for {away:f} s")
-def lose_store(context, away):
-    context.away = away
+@given("the store has been unreachable for {outage:f} s")
+def lose_store(context, outage):
+    context.outage = outage
 
 
-@then("a node is cut off")
-def check_cut_off(context):
-    assert is_partitioned(others_silent_s=context.silent, store_away_s=context.away)
+@then("a node is partitioned")
+def check_partitioned(context):
+    assert is_partitioned(others_silent_s=context.silent, store_away_s=context.outage)
 
 
-@then("a node is not cut off")
+@then("a node is not partitioned")
 def check_connected(context):
-    assert not is_partitioned(others_silent_s=context.silent, store_away_s=context.away)
+    assert not is_partitioned(
+        others_silent_s=context.silent, store_away_s=context.outage
+    )
 
 
 @given("a fleet of {domains:d} failure domains with {nodes:d} nodes each")
@@ -80,7 +82,7 @@
         f"10.{d}.0.{n}": f"domain-{d}" for d in range(domains) for n in range(nodes)
     }
     context.clock = SteppedClock()
-    context.fabric = CutFabric(context.domains)
+    context.fabric = PartitionedFabric(context.domains)
     own = next(iter(context.domains))
     configuration = ConfigurationCache()
     configuration.offer(b'{"version": 1}', source="test")
@@ -102,7 +104,7 @@
 
 
 def greet(context, seconds):
-    """Greet as the node does; return the longest silence seen on the way."""
+    """Greet as the node does; return the longest silence measured meanwhile."""
     longest = 0.0
 
     async def go_on():
@@ -114,7 +116,7 @@
                 context.fleet.greet_peers()
                 due = context.clock.now + GREETING_INTERVAL_S
             context.clock.now += ROUND_S
-            # A greeting that is not answered changes nothing when it times out.
+            # An unanswered greeting has no effect when it times out.
             assert GREET_TIMEOUT_S < GREETING_INTERVAL_S
             await asyncio.sleep(0.001)
             longest = max(longest, context.fleet.measure_silence() or 0.0)
@@ -123,41 +125,45 @@
     return longest
 
 
-@when("the own domain is cut off for {seconds:f} s")
-def cut_own(context, seconds):
-    context.fabric.cut = {ip for ip, d in context.domains.items() if d != "domain-0"}
+@when("the own domain is partitioned for {seconds:f} s")
+def partition_own(context, seconds):
+    context.fabric.unreachable = {
+        ip for ip, d in context.domains.items() if d != "domain-0"
+    }
     greet(context, seconds)
 
 
-@when("another domain is cut off for {seconds:f} s")
-def cut_other(context, seconds):
-    context.fabric.cut = {ip for ip, d in context.domains.items() if d == "domain-1"}
+@when("another domain is partitioned for {seconds:f} s")
+def partition_other(context, seconds):
+    context.fabric.unreachable = {
+        ip for ip, d in context.domains.items() if d == "domain-1"
+    }
     context.longest = greet(context, seconds)
 
 
-@when("the cut is over for {seconds:f} s")
+@when("the partition has been over for {seconds:f} s")
 def heal(context, seconds):
-    context.fabric.cut = set()
+    context.fabric.unreachable = set()
     greet(context, seconds)
 
 
-@then("the others count as silent for at least {seconds:f} s")
+@then("the other domains count as silent for at least {seconds:f} s")
 def check_silent(context, seconds):
     assert context.fleet.measure_silence() >= seconds
 
 
-@then("the others count as silent for at most {seconds:f} s")
+@then("the other domains count as silent for at most {seconds:f} s")
 def check_heard(context, seconds):
     assert context.fleet.measure_silence() <= seconds
 
 
-@then("the others never counted as silent for {seconds:f} s")
+@then("the other domains never counted as silent for {seconds:f} s")
 def check_longest(context, seconds):
     assert context.longest < seconds, context.longest
 
 
-@given("every peer has said that it reaches the store")
-def tell_all(context):
+@given("every peer has reported that it reaches the store")
+def report_all(context):
     context.leader = "10.1.0.0"
     context.fleet.record_leader(context.leader, 5)
     greet(context, 6.0)
@@ -166,7 +172,7 @@
 
 @when("the leader is removed for good and {seconds:f} s have passed")
 def remove(context, seconds):
-    context.fabric.cut = {context.leader}
+    context.fabric.unreachable = {context.leader}
     greet(context, seconds)
 
 
--- a/features/steps/node_order_steps.py
+++ b/features/steps/node_order_steps.py
@@ -7,13 +7,13 @@
 from features.support.virtual_time import play
 
 
-@given("a leader whose worker runs 8 tasks and falls silent")
+@given("a leader whose worker runs 8 tasks and then stops answering")
 def fill_worker(context):
     context.leader = AttendedWorkers(1)
     context.leader.engine.submit(make_job("job", make_step(8, 1)))
 
 
-@when("all of them are to be stopped and nothing is heard for {silent:d} s")
+@when("all of them are stopped and the worker does not answer for {silent:d} s")
 def stop_all(context, silent):
     leader = context.leader
     calls = leader.calls
@@ -27,7 +27,7 @@
         leader.request_pass()
         await asyncio.sleep(silent)
         (session,) = leader.sessions.values()
-        context.waiting = session.queued_orders
+        context.queued = session.queued_orders
         calls.silent = False
         await asyncio.sleep(1.0)
         context.left = dict(calls.running)
@@ -36,9 +36,9 @@
     play(fall_silent())
 
 
-@then("at most {most:d} stops wait for the worker")
-def check_waiting(context, most):
-    assert context.waiting <= most, context.waiting
+@then("at most {limit:d} stops are queued for the worker")
+def check_queued(context, limit):
+    assert context.queued <= limit, context.queued
 
 
 @then("all are carried out within 1 s of its return")
@@ -46,7 +46,7 @@
     assert context.left == {}, context.left
 
 
-@given("a leader whose worker has one task at work")
+@given("a leader whose worker has one active task")
 def run_one(context):
     context.leader = AttendedWorkers(1)
     context.leader.engine.submit(make_job("long", make_step(1, 1)))
@@ -59,7 +59,7 @@
     async def lose():
         leading = asyncio.create_task(leader.lead(8.0))
         await asyncio.sleep(1.0)
-        # The look that waits has left by now, and nothing ends for two seconds.
+        # A waiting poll is open by now, and no run ends for two seconds.
         leader.calls.lost = ["start"] * 4
         leader.engine.submit(make_job("lost", make_step(1, 1)))
         leader.request_pass()
@@ -90,22 +90,22 @@
     delay_answers(context, seconds, workers=1)
 
 
-@when("a job of 6 tasks comes")
+@when("a job of 6 tasks is submitted")
 def submit_six(context):
     context.leader.engine.submit(make_job("six", make_step(6, 2)))
     play(context.leader.lead(5.0))
 
 
-@then("all of them are at work within 5 s, none in more than its second run")
+@then("all of them are active within 5 s, none in more than its second run")
 def check_begun(context):
     units = context.leader.core.jobs["six"].units
     assert all(unit.all_active and unit.run <= 2 for unit in units), units
 
 
-@then("the next answer is awaited for {seconds:f} s")
-def check_wait(context, seconds):
-    timer = context.leader.timeout_estimator
-    assert timer.timeout_s == seconds, timer.timeout_s
+@then("the timeout of the next order is {seconds:f} s")
+def check_timeout(context, seconds):
+    estimator = context.leader.timeout_estimator
+    assert estimator.timeout_s == seconds, estimator.timeout_s
 
 
 @given("a leader of {workers:d} workers, of whose next orders {lost:d} are lost")
@@ -114,19 +114,19 @@
     context.leader.calls.lost = ["start"] * lost
 
 
-@when("a gang of {count:d} comes, one task for each worker")
+@when("a gang of {count:d} is submitted, one task for each worker")
 def submit_gang(context, count):
     context.leader.engine.submit(make_job("gang", make_step(count, gang=True)))
 
 
-@then("the gang is at work within {seconds:f} s, in its first run")
+@then("the gang is active within {seconds:f} s, in its first run")
 def check_gang(context, seconds):
     play(context.leader.lead(seconds))
     unit = context.leader.engine.find_unit("gang")
     assert unit.all_active and unit.run == 1, (unit.run, unit.placements)
 
 
-@when("a stop for it is lost, and a job of 4 tasks comes")
+@when("a stop for it is lost, and a job of 4 tasks is submitted")
 def lose_stop(context):
     leader = context.leader
 
@@ -136,7 +136,7 @@
         leader.calls.lost = ["stop"]
         leader.core.cancel_job("long")
         leader.request_pass()
-        # The stop has left, and has no answer when the job's starts come up.
+        # The stop is sent and unanswered when the starts of the job are due.
         await asyncio.sleep(0.2)
         leader.engine.submit(make_job("four", make_step(4, 1)))
         leader.request_pass()
@@ -147,16 +147,16 @@
     play(lose())
 
 
-@then("all 4 are at work within 1 s, in their first run")
+@then("all 4 are active within 1 s, in their first run")
 def check_first_runs(context):
     assert context.units == [(True, 1)] * 4, context.units
 
 
-def order_six_small(context, then_do):
-    """Order six small tasks, do something 0.1 s later, and lead on for 4 s in all."""
+def submit_six_small(context, then_do):
+    """Submit six small tasks, call ``then_do`` 0.1 s later; lead for 4 s in all."""
     leader = context.leader
 
-    async def order():
+    async def submit():
         leading = asyncio.create_task(leader.lead(4.0))
         leader.engine.submit(make_job("small", make_step(6, 1)))
         await asyncio.sleep(0.1)
@@ -164,16 +164,16 @@
         leader.request_pass()
         await leading
 
-    play(order())
+    play(submit())
 
 
-@when("a job of 6 small tasks is ordered, and an urgent one 0.1 s later")
+@when("a job of 6 small tasks is submitted, and an urgent one 0.1 s later")
 def submit_urgent(context):
     urgent = make_job("urgent", make_step(1, 2), priority=0)
-    order_six_small(context, lambda leader: leader.engine.submit(urgent))
+    submit_six_small(context, lambda leader: leader.engine.submit(urgent))
 
 
-@then("the urgent one is at work before 3 of the small tasks are")
+@then("the urgent one is active before 3 of the small tasks are")
 def check_order(context):
     units = context.leader.core.jobs["small"].units
     urgent = context.leader.engine.find_unit("urgent").active_since
@@ -181,12 +181,12 @@
     assert urgent and len(earlier) < 3, (urgent, earlier)
 
 
-@when("a job of 6 small tasks is ordered, and cancelled 0.1 s later")
+@when("a job of 6 small tasks is submitted, and cancelled 0.1 s later")
 def cancel_soon(context):
-    order_six_small(context, lambda leader: leader.core.cancel_job("small"))
+    submit_six_small(context, lambda leader: leader.core.cancel_job("small"))
 
 
-@then("only its first task was ordered, and no other was stopped")
+@then("only its first task was started, and no other was stopped")
 def check_unsent(context):
     sent = context.leader.calls.sent
     started = {s.task for s in sent if s.kind == "start"}
@@ -194,19 +194,19 @@
     assert {s.task for s in sent if s.kind == "stop"} <= started, sent
 
 
-@given("a leader of {workers:d} workers, one of which takes no connection")
+@given("a leader of {workers:d} workers, one of which accepts no connection")
 def refuse_connections(context, workers):
     context.leader = AttendedWorkers(workers)
     context.leader.calls.refusing.add("w0")
 
 
-@when("a job of {count:d} small tasks comes")
+@when("a job of {count:d} small tasks is submitted")
 def submit_small(context, count):
     context.leader.engine.submit(make_job("small", make_step(count, 1)))
 
 
-@then("all of them are at work within {seconds:d} s")
-def check_at_work(context, seconds):
+@then("all of them are active within {seconds:d} s")
+def check_active(context, seconds):
     play(context.leader.lead(float(seconds)))
     units = context.leader.core.jobs["small"].units
     assert all(unit.all_active for unit in units), units
