--- a/src/firladder/_internal/node/configuration.py
+++ b/src/firladder/_internal/node/configuration.py
@@ -12,7 +12,7 @@
 
 logger = logging.getLogger(__name__)
 
-STORE_SOURCE = "store"
+STORE = "store"
 """Source of a configuration read from the store; other sources are peer addresses."""
 
 
@@ -49,7 +49,7 @@
 
     def _apply_item(self, key: str, value: bytes) -> None:
         if key == CONFIGURATION_KEY:
-            self.offer(value, source=STORE_SOURCE)
+            self.offer(value, source=STORE)
 
     def offer(self, value: bytes, *, source: str) -> bool:
         """Adopt a configuration if it is newer; return whether it was adopted.
@@ -58,9 +58,7 @@
         that was partitioned may send an older one: adopting it would restore queues
         and keys that were removed.
         """
-        self.received_bytes[STORE_SOURCE if source == STORE_SOURCE else "peer"] += len(
-            value
-        )
+        self.received_bytes[STORE if source == STORE else "peer"] += len(value)
         if value == self.raw:
             return False
         fresh = decode_configuration(value)
--- a/src/firladder/_internal/node/fleet.py
+++ b/src/firladder/_internal/node/fleet.py
@@ -168,7 +168,9 @@
     def _replace_silent_peer(self, ip: str) -> None:
         """Let the next round greet other peers than ``ip``, which did not answer."""
         self._domain_contacts = {
-            d: w for d, w in self._domain_contacts.items() if w != ip
+            domain: contact
+            for domain, contact in self._domain_contacts.items()
+            if contact != ip
         }
         if ip == self._partner:
             self._partner = ""
