--- a/src/firladder/_internal/node/worker_session.py
+++ b/src/firladder/_internal/node/worker_session.py
@@ -375,7 +375,7 @@
         if isinstance(answer, float):
             return
         logger.info(
-            "order failed",
+            "order not taken",
             extra={
                 "kind": order.kind,
                 "job": order.placement.task.job_id,
