--- a/features/steps/configuration_links_steps.py
+++ b/features/steps/configuration_links_steps.py
@@ -73,7 +73,7 @@
     # Behind the proxy the node calls from another address than its own.
     context.platform.set_store_faults(busy=True)
     time.sleep(1.0)
-    assert Event.STORE_LOST.message in context.platform.nodes[0].log.read_text()
+    assert Event.STORE_UNREACHABLE.message in context.platform.nodes[0].log.read_text()
 
 
 @when("{count:d} routes are added")
@@ -122,7 +122,7 @@
 @then("it has not counted the store as lost")
 def check_not_lost(context):
     log = context.platform.nodes[0].log.read_text()
-    assert Event.STORE_LOST.message not in log
+    assert Event.STORE_UNREACHABLE.message not in log
 
 
 # -- a fleet without a network ----------------------------------------------------
--- a/src/firladder/_internal/fleet/process.py
+++ b/src/firladder/_internal/fleet/process.py
@@ -189,7 +189,7 @@
             if self.store.reachable != reachable:
                 reachable = self.store.reachable
                 self.timeline.record(
-                    Event.STORE_FOUND if reachable else Event.STORE_LOST
+                    Event.STORE_REACHABLE if reachable else Event.STORE_UNREACHABLE
                 )
 
     def adopt_inventory(self) -> None:
--- a/src/firladder/_internal/node/client_api.py
+++ b/src/firladder/_internal/node/client_api.py
@@ -135,7 +135,7 @@
         configuration = self._node.configuration
         confirmed_s = self._node.measure_confirmation_age()
         self._node.timeline.record(
-            Event.CALL_NOT_ALLOWED,
+            Event.CALL_REJECTED,
             request=call.headers.get("request-id", ""),
             method=call.method,
             path=call.path,
@@ -218,7 +218,7 @@
             found = await self._records.read_state(job_id)
             if isinstance(found, Failure):
                 self._node.timeline.record(
-                    Event.STATE_NOT_KNOWN,
+                    Event.JOB_STATE_UNKNOWN,
                     job=job_id,
                     leader=self._node.fleet.leader_ip,
                     outcome=type(found).__name__,
--- a/src/firladder/_internal/node/daemon.py
+++ b/src/firladder/_internal/node/daemon.py
@@ -277,7 +277,7 @@
             self.term.adopt_configuration(self.configuration.current)
 
     def _record_store_state(self, reachable: bool, reason: str) -> None:
-        event = Event.STORE_FOUND if reachable else Event.STORE_LOST
+        event = Event.STORE_REACHABLE if reachable else Event.STORE_UNREACHABLE
         self.timeline.record(event, reason=reason)
 
     def _apply_leader_listing(self, listing: Listing) -> None:
@@ -308,7 +308,9 @@
 
     def _on_leader_known(self) -> None:
         self.timeline.record(
-            Event.LEADER_KNOWN, ip=self.fleet.leader_ip, token=self.fleet.leader_token
+            Event.OTHER_LEADER_KNOWN,
+            ip=self.fleet.leader_ip,
+            token=self.fleet.leader_token,
         )
         term = self.term
         if term is not None and self.fleet.leader_token > term.leadership.token:
@@ -353,7 +355,7 @@
             load_timeout_s=self._load_timeout_s,
         )
         self.term = term
-        self.timeline.record(Event.TERM_BEGUN, token=leadership.token)
+        self.timeline.record(Event.TERM_STARTED, token=leadership.token)
         self.fleet.record_leader(self.settings.ip, leadership.token)
         term.adopt_configuration(self.configuration.current)
         due = self._tasks.spawn(self._hand_over_when_due(term), name="hand-over")
--- a/src/firladder/_internal/node/evacuations.py
+++ b/src/firladder/_internal/node/evacuations.py
@@ -36,6 +36,6 @@
         for domain in sorted(domains - self._core.evacuated):
             self._timeline.record(Event.DOMAIN_EVACUATED, evacuated=domain)
         for domain in sorted(self._core.evacuated - domains):
-            self._timeline.record(Event.DOMAIN_TAKEN_BACK, taken_back=domain)
+            self._timeline.record(Event.DOMAIN_RESTORED, taken_back=domain)
         self._core.evacuate_domains(domains)
         self._on_change()
--- a/src/firladder/_internal/node/partition.py
+++ b/src/firladder/_internal/node/partition.py
@@ -77,5 +77,5 @@
         if partitioned == self.partitioned:
             return
         self.partitioned = partitioned
-        event = Event.NODE_CUT_OFF if partitioned else Event.NODE_CONNECTED
+        event = Event.NODE_PARTITIONED if partitioned else Event.NODE_RECONNECTED
         self._timeline.record(event, others_silent_s=silent_s, store_away_s=outage_s)
--- a/src/firladder/_internal/node/term.py
+++ b/src/firladder/_internal/node/term.py
@@ -334,7 +334,7 @@
         entry = decode_worker(key, value)
         if isinstance(entry, MalformedBody):
             self._timeline.record(
-                Event.ENTRY_LEFT_OUT, key=key, revision=revision, reason=entry.reason
+                Event.ENTRY_SKIPPED, key=key, revision=revision, reason=entry.reason
             )
             return
         if entry.draining:
--- a/src/firladder/_internal/scheduler/domain.py
+++ b/src/firladder/_internal/scheduler/domain.py
@@ -193,7 +193,7 @@
             gang = self.accounting.gangs[action.job]
             gang.stopping, gang.preempted_for = True, action.beneficiary
             self._timeline.record(
-                Event.EVICTION_ORDERED,
+                Event.PREEMPTION_ORDERED,
                 job=action.job,
                 beneficiary=action.beneficiary,
                 reason=action.reason,
--- a/src/firladder/_internal/scheduler/gangs.py
+++ b/src/firladder/_internal/scheduler/gangs.py
@@ -183,7 +183,7 @@
         if message.cause == "cancelled":
             await self._finish("failed", "cancelled while running")
             return
-        self._record(Event.GANG_EVICTED)
+        self._record(Event.GANG_PREEMPTED)
         if self._gang.record.spec.idempotent:
             await self._requeue("evicted")
         else:
--- a/src/firladder/_internal/scheduler/worker_follower.py
+++ b/src/firladder/_internal/scheduler/worker_follower.py
@@ -149,7 +149,7 @@
     def _record_worker_success(self, worker: str, job: str) -> None:
         state = self.accounting.workers[worker]
         if state.quarantined:
-            self._timeline.record(Event.WORKER_RETURNED, worker=worker, job=job)
+            self._timeline.record(Event.QUARANTINE_ENDED, worker=worker, job=job)
         state.health.record_success()
         self.accounting.record_run(
             job, self._configuration.current, self._clock.read_wall()
