--- a/features/support/golden.py
+++ b/features/support/golden.py
@@ -20,7 +20,7 @@
     make_tokens,
 )
 from firladder._internal.models.machine import Machine
-from firladder._internal.utils.tokens import draw_from
+from firladder._internal.utils.identifiers import use_random_source
 
 DIRECTORY = Path(__file__).resolve().parent.parent / "golden"
 
@@ -205,7 +205,7 @@
     from features.support import golden_job  # noqa: F401 - registers its session
 
     recorder = Recorder()
-    with draw_from(make_tokens()):
+    with use_random_source(make_tokens()):
         asyncio.run(asyncio.wait_for(SESSIONS[name](recorder), 20))
     return "\n".join(recorder.lines) + "\n"
 
--- a/src/firladder/_internal/fleet/process.py
+++ b/src/firladder/_internal/fleet/process.py
@@ -19,10 +19,10 @@
 from ..utils.addresses import split_address
 from ..utils.clocks import LogicalClock, SystemClock
 from ..utils.events import Event, Timeline
+from ..utils.identifiers import mint_incarnation
 from ..utils.lag import LoopLag
 from ..utils.settings import Resolved
 from ..utils.tasks import TaskSet
-from ..utils.tokens import mint_incarnation
 from .configuration import PREFIX as CONFIGURATION_PREFIX
 from .configuration import ConfigurationHolder
 from .membership import Membership
@@ -185,7 +185,7 @@
         while True:
             due = loop.time() + STORE_LOOK_S
             await asyncio.sleep(STORE_LOOK_S)
-            self.loop_lag.note(max(0.0, loop.time() - due), loop.time())
+            self.loop_lag.observe(max(0.0, loop.time() - due), loop.time())
             if self.store.reachable != reachable:
                 reachable = self.store.reachable
                 self.timeline.record(
--- a/src/firladder/_internal/gateway/configuration.py
+++ b/src/firladder/_internal/gateway/configuration.py
@@ -33,7 +33,7 @@
     describe_actions,
 )
 from ..utils.events import Event, Timeline
-from ..utils.tokens import mint_write_id
+from ..utils.identifiers import mint_write_id
 
 RETRY_AFTER_S = 2.0
 
--- a/src/firladder/_internal/gateway/jobs.py
+++ b/src/firladder/_internal/gateway/jobs.py
@@ -24,7 +24,7 @@
 from ..utils.clocks import Clock
 from ..utils.codec import encode_json
 from ..utils.events import Event, Timeline
-from ..utils.tokens import digest_bytes, mint_write_id
+from ..utils.identifiers import digest_bytes, mint_write_id
 from .attempts import make_not_ready_failure
 
 PREFIX = "jobs/"
--- a/src/firladder/_internal/gateway/ownership.py
+++ b/src/firladder/_internal/gateway/ownership.py
@@ -19,7 +19,7 @@
 from ..models.message import Identity
 from ..models.request import MAX_DEADLINE_MS
 from ..utils.codec import encode_json
-from ..utils.tokens import mint_write_id
+from ..utils.identifiers import mint_write_id
 
 PREFIX = "claims/"
 TICKET_PREFIX = "t1"
--- a/src/firladder/_internal/gateway/requests.py
+++ b/src/firladder/_internal/gateway/requests.py
@@ -17,8 +17,8 @@
 from ..utils.clocks import Clock
 from ..utils.codec import encode_json
 from ..utils.events import Timeline
+from ..utils.identifiers import digest_bytes
 from ..utils.tasks import TaskSet
-from ..utils.tokens import digest_bytes
 from .answers import Answer, AnswerCache, KnownRequest
 from .attempts import (
     UNKNOWN_RETRY_S,
--- a/src/firladder/_internal/node/configuration.py
+++ b/src/firladder/_internal/node/configuration.py
@@ -8,7 +8,7 @@
 from ..models.workload import Organisation, Queue, QueueConfiguration
 from ..platform.configuration import CONFIGURATION_KEY, decode_configuration
 from ..platform.store import Change, Listing
-from ..utils.packing import pack_bytes
+from ..utils.compression import compress_bytes
 
 logger = logging.getLogger(__name__)
 
@@ -80,7 +80,7 @@
     def pack(self) -> bytes:
         """Return the configuration packed for peers; packed once for each version."""
         if self._packed[0] != self.version:
-            self._packed = (self.version, pack_bytes(self.raw))
+            self._packed = (self.version, compress_bytes(self.raw))
         return self._packed[1]
 
     def record_version(self, version: int) -> None:
--- a/src/firladder/_internal/node/daemon.py
+++ b/src/firladder/_internal/node/daemon.py
@@ -20,8 +20,8 @@
 from ..utils.clocks import LogicalClock, SystemClock
 from ..utils.events import Event, Timeline
 from ..utils.files import WatchedFile
+from ..utils.identifiers import mint_incarnation
 from ..utils.tasks import TaskSet
-from ..utils.tokens import mint_incarnation
 from .client_api import ClientApi
 from .configuration import ConfigurationCache
 from .election import (
--- a/src/firladder/_internal/node/distribution.py
+++ b/src/firladder/_internal/node/distribution.py
@@ -17,8 +17,8 @@
     QueuesReply,
     Received,
 )
+from ..utils.compression import decompress_bytes
 from ..utils.events import Event, Timeline
-from ..utils.packing import unpack_bytes
 from ..utils.tasks import TaskSet
 from .configuration import ConfigurationCache
 
@@ -155,7 +155,7 @@
             return reply.reason
         if not isinstance(reply, QueuesReply) or not reply.packed:
             return "the peer has no newer configuration"
-        value = unpack_bytes(reply.packed, most_bytes=MAX_CONFIGURATION_BYTES)
+        value = decompress_bytes(reply.packed, max_bytes=MAX_CONFIGURATION_BYTES)
         if isinstance(value, MalformedBody):
             return value.reason
         self._configuration.offer(value, source=ip)
--- a/src/firladder/_internal/scheduler/daemon.py
+++ b/src/firladder/_internal/scheduler/daemon.py
@@ -20,7 +20,7 @@
 from ..policies.placement_catalogue import PLACEMENTS
 from ..utils.events import Event
 from ..utils.settings import Resolved
-from ..utils.tasks import end_task
+from ..utils.tasks import cancel_and_wait
 from .domain import DomainLeader
 from .gang_messages import GangTimes
 from .leadership import Leadership
@@ -148,7 +148,7 @@
             self.leadership.changed.clear()
         self.leader = None
         for task in (term, mirror_task):
-            await end_task(task)
+            await cancel_and_wait(task)
         await leader.close()
         if self.leadership.state == "claiming":
             self.leadership.changed.set()
--- a/src/firladder/_internal/scheduler/leadership.py
+++ b/src/firladder/_internal/scheduler/leadership.py
@@ -18,7 +18,7 @@
 from ..utils.clocks import Clock
 from ..utils.codec import encode_json
 from ..utils.events import Event, Timeline
-from ..utils.tokens import mint_write_id
+from ..utils.identifiers import mint_write_id
 
 logger = logging.getLogger(__name__)
 
--- a/src/firladder/_internal/scheduler/ledger.py
+++ b/src/firladder/_internal/scheduler/ledger.py
@@ -13,7 +13,7 @@
 from ..models.job import JobRecord
 from ..utils.clocks import LogicalClock
 from ..utils.codec import encode_json
-from ..utils.tokens import mint_write_id
+from ..utils.identifiers import mint_write_id
 
 logger = logging.getLogger(__name__)
 
--- a/src/firladder/_internal/utils/packing.py
+++ b/src/firladder/_internal/utils/compression.py
@@ -8,18 +8,18 @@
 """The fastest: a configuration of many like routes shrinks to a tenth at any level."""
 
 
-def pack_bytes(data: bytes) -> bytes:
+def compress_bytes(data: bytes) -> bytes:
     """Return compressed bytes."""
     return zlib.compress(data, LEVEL)
 
 
-def unpack_bytes(packed: bytes, *, most_bytes: int) -> bytes | MalformedBody:
-    """Return what was packed, if it has at most ``most_bytes``."""
+def decompress_bytes(packed: bytes, *, max_bytes: int) -> bytes | MalformedBody:
+    """Return what was packed, if it has at most ``max_bytes``."""
     unpacker = zlib.decompressobj()
     try:
-        data = unpacker.decompress(packed, most_bytes)
+        data = unpacker.decompress(packed, max_bytes)
     except zlib.error as error:
         return MalformedBody(reason=f"cannot be unpacked: {error}")
     if not unpacker.eof:
-        return MalformedBody(reason=f"cut short, or of more than {most_bytes} bytes")
+        return MalformedBody(reason=f"cut short, or of more than {max_bytes} bytes")
     return data
--- a/src/firladder/_internal/utils/tokens.py
+++ b/src/firladder/_internal/utils/identifiers.py
@@ -12,7 +12,7 @@
 
 
 @contextlib.contextmanager
-def draw_from(make_hex: MakeHex) -> Iterator[None]:
+def use_random_source(make_hex: MakeHex) -> Iterator[None]:
     """Draw all randomness from ``make_hex``, so that a run can be repeated."""
     global _make_hex
     former, _make_hex = _make_hex, make_hex
--- a/src/firladder/_internal/utils/lag.py
+++ b/src/firladder/_internal/utils/lag.py
@@ -16,7 +16,7 @@
         self._current = 0.0
         self._last = 0.0
 
-    def note(self, lag_s: float, now: float) -> None:
+    def observe(self, lag_s: float, now: float) -> None:
         """Take a delay into account."""
         if now - self._began_at > WINDOW_S:
             self._began_at, self._last, self._current = now, self._current, 0.0
--- a/src/firladder/_internal/utils/tasks.py
+++ b/src/firladder/_internal/utils/tasks.py
@@ -37,10 +37,10 @@
 
     async def close(self) -> None:
         """Cancel what still runs and wait for its end."""
-        await asyncio.gather(*(end_task(task) for task in tuple(self._tasks)))
+        await asyncio.gather(*(cancel_and_wait(task) for task in tuple(self._tasks)))
 
 
-async def end_task(task: "asyncio.Task[Any]") -> None:
+async def cancel_and_wait(task: "asyncio.Task[Any]") -> None:
     """Cancel a task until it has ended.
 
     Python 3.11's ``wait_for`` swallows a cancellation that arrives together
