--- a/src/firladder/_internal/cli/client_settings.py
+++ b/src/firladder/_internal/cli/client_settings.py
@@ -4,11 +4,11 @@
     Setting,
     check_address,
     check_choice,
+    check_integer,
     check_labels,
     check_number,
     check_optional,
     check_text,
-    check_whole,
 )
 
 CLIENT = (
@@ -22,7 +22,7 @@
 REQUEST = (
     *CLIENT,
     Setting("organisation", check_text, "organisation that asks"),
-    Setting("deadline_ms", check_whole(1, 600_000), "time for the answer", "5000"),
+    Setting("deadline_ms", check_integer(1, 600_000), "time for the answer", "5000"),
     Setting("urgency", URGENCY, "urgent, normal or overnight", "normal"),
     Setting("idempotent", check_optional, "may run more than once", "", switch=True),
     Setting("id", check_optional, "id; a ticket is fetched if none is given", ""),
@@ -33,8 +33,8 @@
     *CLIENT,
     Setting("id", check_optional, "id of the job", ""),
     Setting("organisation", check_optional, "organisation of the job", ""),
-    Setting("members", check_whole(1, 1024), "tasks of the gang", "1"),
-    Setting("accelerators", check_whole(0, 1024), "accelerators a member", "1"),
+    Setting("members", check_integer(1, 1024), "tasks of the gang", "1"),
+    Setting("accelerators", check_integer(0, 1024), "accelerators a member", "1"),
     Setting(
         "adjacency", check_choice("worker", "rack", "domain"), "lie within", "rack"
     ),
--- a/src/firladder/_internal/cli/daemon_settings.py
+++ b/src/firladder/_internal/cli/daemon_settings.py
@@ -13,13 +13,13 @@
     check_address,
     check_addresses,
     check_choice,
+    check_integer,
     check_number,
     check_optional,
     check_optional_address,
     check_secret,
     check_text,
     check_url,
-    check_whole,
 )
 from .client_settings import CONFIG, JOBS, REQUEST, SUBMIT
 
@@ -68,12 +68,14 @@
 
 GATEWAY = (
     *SHARED,
-    Setting("queue_limit", check_whole(1, 100_000), "requests queued at most", "2000"),
+    Setting(
+        "queue_limit", check_integer(1, 100_000), "requests queued at most", "2000"
+    ),
 )
 
 SCHEDULER = (
     *SHARED,
-    Setting("leader_ttl_s", check_whole(1, 60), "leadership lease, s", "5"),
+    Setting("leader_ttl_s", check_integer(1, 60), "leadership lease, s", "5"),
     Setting("task_ttl_s", check_number(0.5, 600), "lease of confirmed tasks, s", "30"),
     Setting(
         "start_ttl_s",
--- a/src/firladder/_internal/utils/__init__.py
+++ b/src/firladder/_internal/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers named by subject."""
+"""Helpers that any layer may use."""
--- a/src/firladder/_internal/utils/addresses.py
+++ b/src/firladder/_internal/utils/addresses.py
@@ -1,7 +1,7 @@
-"""Addresses as ``host:port``, the host being an IP number."""
+"""Parse ``host:port`` addresses, in which the host is an IP address."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of ``host:port``."""
+    """Return the host and the port of ``address``."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/src/firladder/_internal/utils/clocks.py
+++ b/src/firladder/_internal/utils/clocks.py
@@ -1,11 +1,11 @@
-"""Clocks that can be passed in: wall, monotonic and logical time."""
+"""Injectable clocks: wall, monotonic and logical time."""
 
 import time
 from typing import Protocol
 
 
 class Clock(Protocol):
-    """Source of time for code that must run in a test without waiting."""
+    """A source of time, which tests replace so that they needn't wait."""
 
     def read_monotonic(self) -> float:
         """Return seconds that never go back."""
@@ -15,13 +15,13 @@
 
 
 class SystemClock:
-    """The machine's own clocks."""
+    """The operating system's clocks."""
 
     def read_monotonic(self) -> float:
-        """Return seconds that never go back, and count while suspended."""
-        # CLOCK_MONOTONIC stands still while a VM is suspended, so a leader
-        # would wake, believe its lease and act beside its successor;
-        # CLOCK_BOOTTIME goes on and shows the pause.
+        """Return seconds that never go back and that include suspended time."""
+        # CLOCK_MONOTONIC stops while a VM is suspended: after it resumes, a
+        # leader would take its expired lease for valid and act at the same time
+        # as its successor. CLOCK_BOOTTIME includes the suspension.
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def read_wall(self) -> float:
@@ -30,18 +30,18 @@
 
 
 class LogicalClock:
-    """A Lamport clock: orders events of all processes by cause and effect."""
+    """A Lamport clock, which orders the events of all processes causally."""
 
     def __init__(self) -> None:
         """Start at zero."""
         self._value = 0
 
     def advance(self) -> int:
-        """Count a local event and return its time."""
+        """Advance for a local event and return its time."""
         self._value += 1
         return self._value
 
-    def merge(self, seen: int) -> int:
-        """Count the receipt of a message sent at ``seen``."""
-        self._value = max(self._value, seen) + 1
+    def merge(self, received: int) -> int:
+        """Advance past a received timestamp and return the new time."""
+        self._value = max(self._value, received) + 1
         return self._value
--- a/src/firladder/_internal/utils/compression.py
+++ b/src/firladder/_internal/utils/compression.py
@@ -1,25 +1,27 @@
-"""Compress what is sent between processes, and bound what comes out again."""
+"""Compress data sent between processes, and decompress it up to a size limit."""
 
 import zlib
 
 from ..exceptions import MalformedBody
 
-LEVEL = 1
-"""The fastest: a configuration of many like routes shrinks to a tenth at any level."""
+COMPRESSION_LEVEL = 1
+"""The fastest level; any level shrinks a configuration of similar routes to a tenth."""
 
 
 def compress_bytes(data: bytes) -> bytes:
-    """Return compressed bytes."""
-    return zlib.compress(data, LEVEL)
+    """Return ``data`` compressed."""
+    return zlib.compress(data, COMPRESSION_LEVEL)
 
 
-def decompress_bytes(packed: bytes, *, max_bytes: int) -> bytes | MalformedBody:
-    """Return what was packed, if it has at most ``max_bytes``."""
-    unpacker = zlib.decompressobj()
+def decompress_bytes(compressed: bytes, *, max_bytes: int) -> bytes | MalformedBody:
+    """Return the decompressed data, or a failure if it exceeds ``max_bytes``."""
+    decompressor = zlib.decompressobj()
     try:
-        data = unpacker.decompress(packed, max_bytes)
+        data = decompressor.decompress(compressed, max_bytes)
     except zlib.error as error:
-        return MalformedBody(reason=f"cannot be unpacked: {error}")
-    if not unpacker.eof:
-        return MalformedBody(reason=f"cut short, or of more than {max_bytes} bytes")
+        return MalformedBody(reason=f"invalid compressed data: {error}")
+    if not decompressor.eof:
+        return MalformedBody(
+            reason=f"compressed data is truncated or exceeds {max_bytes} bytes"
+        )
     return data
--- a/src/firladder/_internal/utils/events.py
+++ b/src/firladder/_internal/utils/events.py
@@ -1,4 +1,4 @@
-"""Numbered events: the catalogue of what a process may put on the time line."""
+"""The catalogue of numbered events, and the time line that records them."""
 
 import enum
 import logging
@@ -12,12 +12,12 @@
 
 logger = logging.getLogger("firladder.events")
 
-RING_EVENTS = 4096
-"""Events kept for the time line; about 300 bytes each, so 1.2 MB at most."""
+TIMELINE_CAPACITY = 4096
+"""Events kept in memory; at about 300 bytes each, at most 1.2 MB."""
 
 
 class Event(enum.Enum):
-    """An event's number and message; ``docs/events.md`` says what to do."""
+    """An event's number and message; ``docs/events.md`` tells operators what to do."""
 
     PROCESS_STARTED = (100, "process started")
     PROCESS_SERVING = (101, "process serving")
@@ -93,9 +93,10 @@
 
 
 class EventRecord(msgspec.Struct, frozen=True):
-    """One event of one process; ``clock`` is its Lamport time.
+    """One event of one process.
 
-    ``domain`` is the failure domain of the process.
+    ``clock`` is its Lamport time, ``wall`` the seconds since the Unix epoch and
+    ``domain`` the failure domain of the process.
     """
 
     clock: int
@@ -108,7 +109,7 @@
 
 
 class Timeline:
-    """The latest events of this process."""
+    """The most recent events of this process."""
 
     def __init__(
         self,
@@ -117,33 +118,35 @@
         clock: Clock,
         logical: LogicalClock,
         domain: str = "",
-        capacity: int = RING_EVENTS,
+        capacity: int = TIMELINE_CAPACITY,
     ) -> None:
-        """Keep at most ``capacity`` events, the oldest going first."""
+        """Keep at most ``capacity`` events and discard the oldest first."""
         self.logical = logical
         self._process = process
         self._domain = domain
         self._clock = clock
-        self._ring: deque[EventRecord] = deque(maxlen=capacity)
+        self._events: deque[EventRecord] = deque(maxlen=capacity)
         self.counts: Counter[tuple[Event, str]] = Counter()
 
     def stamp(self) -> int:
-        """Return the Lamport time of an event that is about to be written down.
+        """Return the Lamport time for an event that will be recorded later.
 
-        What is accepted by a write to the store can have effects elsewhere
-        before the answer to the write is here. Stamped after the answer, an
-        acceptance would come out behind its own effects.
+        A write to the store can have effects in other processes before its reply
+        arrives here. If the event were stamped after the reply, it would be
+        ordered after its own effects.
         """
         return self.logical.advance()
 
     def record(self, event: Event, **details: Any) -> EventRecord:
-        """Put an event on the time line and into the log."""
+        """Record an event on the time line and in the log."""
         return self.record_at(self.logical.advance(), event, **details)
 
-    def record_at(self, stamped: int, event: Event, /, **details: Any) -> EventRecord:
-        """Put an event that was stamped before on the time line."""
+    def record_at(
+        self, lamport_time: int, event: Event, /, **details: Any
+    ) -> EventRecord:
+        """Record an event at a time that ``stamp`` returned earlier."""
         entry = EventRecord(
-            stamped,
+            lamport_time,
             self._clock.read_wall(),
             self._process,
             event.number,
@@ -151,7 +154,7 @@
             details,
             self._domain,
         )
-        self._ring.append(entry)
+        self._events.append(entry)
         self.counts[event, str(details.get("outcome") or "")] += 1
         logger.info(
             event.message,
@@ -166,10 +169,10 @@
         return entry
 
     def list_events(self, *, after: int = 0) -> tuple[EventRecord, ...]:
-        """Return the kept events whose Lamport time is above ``after``."""
-        return tuple(entry for entry in self._ring if entry.clock > after)
+        """Return the kept events whose Lamport time is later than ``after``."""
+        return tuple(entry for entry in self._events if entry.clock > after)
 
 
 def merge_events(records: Iterable[EventRecord]) -> list[EventRecord]:
-    """Return events of many processes in an order that respects cause and effect."""
+    """Return the events of many processes in causal order."""
     return sorted(records, key=lambda e: (e.clock, e.wall, e.process))
--- a/src/firladder/_internal/utils/files.py
+++ b/src/firladder/_internal/utils/files.py
@@ -1,4 +1,4 @@
-"""Notice that a file has changed."""
+"""Detect changes of a file."""
 
 import asyncio
 import logging
@@ -7,31 +7,31 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_S = 1.0
-"""Seconds between looks at a file, which may change unannounced."""
+POLL_INTERVAL_S = 1.0
+"""Seconds between checks of a watched file."""
 
 
 class WatchedFile:
-    """A file of which changes since the last look are noticed."""
+    """A file that is polled for changes of its modification time and size."""
 
     def __init__(self, path: str) -> None:
-        """Remember the file as it is now."""
+        """Take the file's current state as unchanged."""
         self._path = path
-        self._seen = self._read_state()
+        self._last_state = self._read_state()
 
-    async def call_on_change(self, react: Callable[[], None]) -> None:
-        """Call ``react`` after each change, until cancelled."""
+    async def call_on_change(self, callback: Callable[[], None]) -> None:
+        """Call ``callback`` after each change, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            found = self._read_state()
-            if found != self._seen:
-                self._seen = found
-                react()
+            await asyncio.sleep(POLL_INTERVAL_S)
+            state = self._read_state()
+            if state != self._last_state:
+                self._last_state = state
+                callback()
 
     def _read_state(self) -> tuple[float, int]:
         try:
-            found = os.stat(self._path)
+            stat = os.stat(self._path)
         except OSError as error:
-            logger.warning("%s cannot be looked at: %s", self._path, error)
+            logger.warning("cannot read the status of %s: %s", self._path, error)
             return 0.0, 0
-        return found.st_mtime, found.st_size
+        return stat.st_mtime, stat.st_size
--- a/src/firladder/_internal/utils/lag.py
+++ b/src/firladder/_internal/utils/lag.py
@@ -1,27 +1,31 @@
-"""Remember how late the event loop was."""
+"""Measure the lag of the event loop."""
 
 WINDOW_S = 60.0
 
 
 class LoopLag:
-    """The longest delay of the current and the last window, in seconds.
+    """The longest delay of the event loop in the current and the previous window.
 
-    A pass or a decoding that takes long delays every caller of the process, and
-    shows nowhere else: processor time alone may still look small.
+    A long scheduling pass or decoding delays every caller of the process. Average
+    processor time doesn't show it.
     """
 
     def __init__(self) -> None:
-        """Start with no delay."""
-        self._began_at = 0.0
-        self._current = 0.0
-        self._last = 0.0
+        """Start without any delay."""
+        self._window_started_at = 0.0
+        self._current_s = 0.0
+        self._previous_s = 0.0
 
     def observe(self, lag_s: float, now: float) -> None:
-        """Take a delay into account."""
-        if now - self._began_at > WINDOW_S:
-            self._began_at, self._last, self._current = now, self._current, 0.0
-        self._current = max(self._current, lag_s)
+        """Add one measured delay."""
+        if now - self._window_started_at > WINDOW_S:
+            self._window_started_at, self._previous_s, self._current_s = (
+                now,
+                self._current_s,
+                0.0,
+            )
+        self._current_s = max(self._current_s, lag_s)
 
     def read(self) -> float:
-        """Return the longest delay of the last one to two minutes."""
-        return max(self._current, self._last)
+        """Return the longest delay, in seconds, of the last one to two minutes."""
+        return max(self._current_s, self._previous_s)
--- a/src/firladder/_internal/utils/logs.py
+++ b/src/firladder/_internal/utils/logs.py
@@ -1,4 +1,4 @@
-"""Write logs as one JSON object a line, through structlog."""
+"""Write logs as one JSON object per line, using structlog."""
 
 import logging
 import sys
@@ -7,7 +7,10 @@
 
 from .streams import BoundedStream
 
-_STANDARD = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
+_STANDARD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {
+    "message",
+    "asctime",
+}
 
 
 def _copy_extra(
@@ -15,14 +18,17 @@
 ) -> structlog.typing.EventDict:
     record = event.get("_record")
     if isinstance(record, logging.LogRecord):
-        event.update({k: v for k, v in vars(record).items() if k not in _STANDARD})
+        event.update(
+            {k: v for k, v in vars(record).items() if k not in _STANDARD_ATTRIBUTES}
+        )
     return event
 
 
 def configure_logs(*, process: str, level: str, to_stdout: bool = False) -> None:
-    """Send the records of all module loggers to standard error as JSON.
+    """Write the records of all loggers to standard error as JSON.
 
-    With ``to_stdout`` they go to standard output, bounded and never blocking.
+    With ``to_stdout``, write them to standard output instead, at a bounded rate
+    and without ever blocking.
     """
     structlog.contextvars.bind_contextvars(process=process)
     shared: list[structlog.typing.Processor] = [
--- a/src/firladder/_internal/utils/settings.py
+++ b/src/firladder/_internal/utils/settings.py
@@ -1,4 +1,4 @@
-"""Settings in flags and environment variables, validated whole at start."""
+"""Settings from flags and environment variables, all validated at start."""
 
 import dataclasses
 import difflib
@@ -31,11 +31,11 @@
     default: str | None = None
     secret: bool = False
     switch: bool = False
-    """A flag that needs no value: ``--name`` says "true", ``--noname`` "false"."""
+    """A flag without a value: ``--name`` means "true", ``--noname`` "false"."""
 
     @property
     def label(self) -> str:
-        """Return the flag and its variable, as messages name the setting."""
+        """Return the flag and the variable, as error messages name the setting."""
         return f"--{self.name} ({self.variable})"
 
     @property
@@ -53,24 +53,24 @@
     secret: bool
 
     def describe(self) -> str:
-        """Return the value for people; a secret is never shown."""
+        """Return the value as text for display, with a secret hidden."""
         return "(hidden)" if self.secret and self.value else str(self.value)
 
 
 def check_text(raw: str) -> str:
-    """Accept any text that is not empty."""
+    """Accept non-empty text."""
     if not raw:
         raise ValueError("must not be empty")
     return raw
 
 
 def check_optional(raw: str) -> str:
-    """Accept any text."""
+    """Accept any text, including none."""
     return raw
 
 
 def check_address(raw: str) -> str:
-    """Accept ``ip:port``; names are refused, as VMs are reached by IP number."""
+    """Accept ``ip:port``; reject host names, as VMs are reached by IP address."""
     host, separator, port = raw.rpartition(":")
     if not separator or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError("must be ip:port")
@@ -82,12 +82,12 @@
 
 
 def check_optional_address(raw: str) -> str:
-    """Accept ``ip:port`` or nothing."""
+    """Accept ``ip:port`` or empty text."""
     return check_address(raw) if raw else raw
 
 
 def check_addresses(raw: str) -> tuple[str, ...]:
-    """Accept ``ip:port`` separated by commas."""
+    """Accept a comma-separated list of ``ip:port``."""
     return tuple(check_address(part.strip()) for part in raw.split(",") if part.strip())
 
 
@@ -108,19 +108,19 @@
 
 
 def check_labels(raw: str) -> dict[str, str]:
-    """Accept ``name=value`` separated by commas."""
+    """Accept a comma-separated list of ``name=value``."""
     pairs = [part.partition("=") for part in raw.split(",") if part.strip()]
     if not all(name.strip() and middle for name, middle, _ in pairs):
         raise ValueError("must be name=value,...")
     return {name.strip(): value.strip() for name, _, value in pairs}
 
 
-def check_secret(least: int) -> Check:
-    """Return a check that accepts nothing, or at least ``least`` characters."""
+def check_secret(min_length: int) -> Check:
+    """Return a check that accepts empty text or at least ``min_length`` characters."""
 
     def check(raw: str) -> str:
-        if raw and len(raw) < least:
-            raise ValueError(f"must have at least {least} characters")
+        if raw and len(raw) < min_length:
+            raise ValueError(f"must have at least {min_length} characters")
         return raw
 
     return check
@@ -138,8 +138,8 @@
     return check
 
 
-def check_whole(low: int, high: int) -> Check:
-    """Return a check that accepts a whole number from ``low`` to ``high``."""
+def check_integer(low: int, high: int) -> Check:
+    """Return a check that accepts an integer from ``low`` to ``high``."""
 
     def check(raw: str) -> int:
         value = _read_number(int, raw)
@@ -169,9 +169,9 @@
 ) -> tuple[dict[str, Resolved], list[str]]:
     """Return all settings and the remaining arguments, or raise ``SettingError``.
 
-    A flag goes before its variable, and that before the default. The error
-    names everything that is wrong: an operator who mends one setting a start
-    would restart a daemon many times.
+    A flag takes precedence over its variable, and the variable over the default.
+    The error lists every invalid setting, so that an operator can correct them
+    all before the next start.
     """
     found, problems, rest = read_settings(settings, arguments, environment)
     if not problems:
@@ -192,7 +192,7 @@
     arguments: Sequence[str],
     environment: Mapping[str, str] = os.environ,
 ) -> tuple[dict[str, Resolved], list[SettingError], list[str]]:
-    """Return the settings that are right, what is wrong, and other arguments."""
+    """Return the valid settings, the errors and the remaining arguments."""
     table = flags.FlagValues()
     table.set_gnu_getopt(True)
     for setting in settings:
@@ -204,7 +204,7 @@
         return {}, [SettingError(setting="command line", reason=str(error))], []
     found: dict[str, Resolved] = {}
     unknown = [a for a in rest if len(a) > 1 and a[0] == "-"]
-    problems = [_describe_unknown(a, settings) for a in unknown]
+    problems = [_describe_unknown_flag(a, settings) for a in unknown]
     for setting in settings:
         try:
             found[setting.name] = _resolve(
@@ -215,10 +215,10 @@
     return found, problems, [a for a in rest if a not in unknown]
 
 
-def _describe_unknown(argument: str, settings: Sequence[Setting]) -> SettingError:
+def _describe_unknown_flag(argument: str, settings: Sequence[Setting]) -> SettingError:
     flag = argument.split("=")[0]
-    near = difflib.get_close_matches(flag, [f"--{s.name}" for s in settings], 1)
-    hint = f"; did you mean {near[0]}?" if near else ""
+    matches = difflib.get_close_matches(flag, [f"--{s.name}" for s in settings], 1)
+    hint = f"; did you mean {matches[0]}?" if matches else ""
     return SettingError(setting=flag, reason=f"is no flag of this command{hint}")
 
 
--- a/src/firladder/_internal/utils/streams.py
+++ b/src/firladder/_internal/utils/streams.py
@@ -1,26 +1,27 @@
-"""A log stream that is bounded and never blocks its process."""
+"""A rate-limited log stream that never blocks its process."""
 
 import os
 import select
 import time
 from collections.abc import Callable
 
-LINES_A_SECOND = 150.0
-"""Lines that may be written a second, on average. A busy leader writes some
-dozens; a loop that fails would write thousands and take the processor."""
+MAX_LINES_PER_S = 150.0
+"""Average rate of lines. A busy leader writes a few dozen per second; a loop that
+keeps failing would write thousands and use up the processor."""
 
-BURST_LINES = 600
-"""Lines that may be written at once, such as at a take-over."""
+MAX_BURST_LINES = 600
+"""Lines that may be written at once, such as after a change of leader."""
 
-MOST_BYTES = 4000
-"""Bytes of a line: a pipe that can be written to takes so much at once."""
+MAX_LINE_BYTES = 4000
+"""Longest line. A pipe that polls as writable takes PIPE_BUF (4096) bytes without
+blocking."""
 
 
 class BoundedStream:
-    """Writes whole lines to a descriptor, or drops and counts them.
+    """Write whole lines to a file descriptor, or drop and count them.
 
-    A reader that stops reading fills the pipe; the next write would then block
-    the process in the middle of serving its callers.
+    When the reader of a pipe stops reading, the pipe fills up, and a blocking
+    write would stop the process while it serves callers.
     """
 
     def __init__(
@@ -31,40 +32,40 @@
         self._read_clock = read_clock
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
-        self._budget = float(BURST_LINES)
+        self._available_lines = float(MAX_BURST_LINES)
         self._refilled_at = read_clock()
         self.dropped = 0
 
     def write(self, text: str) -> int:
-        """Write a line if there is room for it; return its length."""
-        if not self._take():
+        """Write a line if rate and pipe allow it; return its length either way."""
+        if not self._try_acquire():
             self.dropped += 1
             return len(text)
         if self.dropped:
             text = f'{{"event": "log lines dropped", "count": {self.dropped}}}\n{text}'
             self.dropped = 0
         data = text.encode("utf-8", "replace")
-        if len(data) > MOST_BYTES:
-            data = data[: MOST_BYTES - 1] + b"\n"
+        if len(data) > MAX_LINE_BYTES:
+            data = data[: MAX_LINE_BYTES - 1] + b"\n"
         try:
             os.write(self._descriptor, data)
         except OSError:
-            # The reader is gone: there is nowhere left to say so.
+            # The reader has closed the pipe: there is nowhere to report it.
             self.dropped += 1
         return len(text)
 
     def flush(self) -> None:
-        """Nothing to flush: each line is one write."""
+        """Do nothing, as each line is one write."""
 
-    def _take(self) -> bool:
+    def _try_acquire(self) -> bool:
         now = self._read_clock()
-        gained = (now - self._refilled_at) * LINES_A_SECOND
-        self._budget = min(BURST_LINES, self._budget + gained)
+        refilled = (now - self._refilled_at) * MAX_LINES_PER_S
+        self._available_lines = min(MAX_BURST_LINES, self._available_lines + refilled)
         self._refilled_at = now
-        if self._budget < 1:
+        if self._available_lines < 1:
             return False
         ready = self._poll.poll(0)
         if not ready or not ready[0][1] & select.POLLOUT:
             return False
-        self._budget -= 1
+        self._available_lines -= 1
         return True
