--- a/src/firladder/_internal/charts/__init__.py
+++ b/src/firladder/_internal/charts/__init__.py
@@ -1,1 +1,1 @@
-"""State charts in files, and the interpreter that runs them."""
+"""State charts in TOML files, and their interpreter."""
--- a/src/firladder/_internal/charts/interpreter.py
+++ b/src/firladder/_internal/charts/interpreter.py
@@ -1,4 +1,4 @@
-"""Interpret state charts written in TOML files beside this module."""
+"""Interpret the state charts in the TOML files of this package."""
 
 import tomllib
 from importlib import resources
@@ -11,7 +11,7 @@
 
 
 class ChartTransition(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One arrow of a chart; ``handler`` names a method of the chart's owner."""
+    """One transition of a chart; ``handler`` names a method of the chart's owner."""
 
     event: str
     source: str | list[str]
@@ -19,7 +19,7 @@
     handler: str | None = None
 
 
-class ChartFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ChartDefinition(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The contents of a chart file."""
 
     name: str
@@ -30,26 +30,27 @@
 
 
 class Chart:
-    """A checked chart: a table from state and event to the next state."""
-
-    def __init__(self, source: ChartFile) -> None:
-        """Let the library check states and arrows, then keep them as a table."""
-        self.source = source
-        # The library validates the chart and expands its sources; walking its
-        # table directly costs a dictionary look-up an event instead of 20 µs.
+    """A validated chart: a table from state and event to the next state."""
+
+    def __init__(self, definition: ChartDefinition) -> None:
+        """Validate the definition and build the transition table."""
+        self.definition = definition
+        # The transitions library validates the chart and expands lists of source
+        # states. Firing events through it takes 20 µs each, so the table is read
+        # directly, at the cost of a dictionary look-up.
         machine = Machine(
             model=None,
-            states=source.states,
-            initial=source.initial,
+            states=definition.states,
+            initial=definition.initial,
             transitions=[
                 {"trigger": t.event, "source": t.source, "dest": t.dest}
-                for t in source.transitions
+                for t in definition.transitions
             ],
             auto_transitions=False,
         )
         handlers = {
             (state, t.event): t.handler
-            for t in source.transitions
+            for t in definition.transitions
             for state in ([t.source] if isinstance(t.source, str) else t.source)
         }
         self._table: dict[tuple[str, str], tuple[str, str | None]] = {
@@ -57,54 +58,58 @@
             for event in machine.events
             for t in machine.get_transitions(event)
         }
-        unreachable = set(source.states) - {d for d, _ in self._table.values()}
-        if unreachable - {source.initial}:
-            raise ChartError(f"{source.name}: no arrow leads to {sorted(unreachable)}")
+        unreachable = set(definition.states) - {d for d, _ in self._table.values()}
+        if unreachable - {definition.initial}:
+            raise ChartError(
+                f"{definition.name}: no transition leads to {sorted(unreachable)}"
+            )
 
     def advance(
         self, state: str, event: str
     ) -> tuple[str, str | None] | IllegalTransition:
-        """Return the next state and the handler's name, or why there is none."""
+        """Return the next state and the handler's name, or a failure."""
         found = self._table.get((state, event))
         if found is None:
             return IllegalTransition(
-                reason=f"chart {self.source.name}: no {event!r} in state {state!r}"
+                reason=f"chart {self.definition.name}: no {event!r} in state {state!r}"
             )
         return found
 
     def list_transitions(self) -> list[tuple[str, str, str]]:
-        """Return every arrow as state, event and next state."""
+        """Return each transition as state, event and next state."""
         return [(s, e, d) for (s, e), (d, _) in self._table.items()]
 
     def check_handlers(self, owner: type) -> None:
-        """Raise at start-up if a handler named in the file does not exist."""
+        """Raise ``ChartError`` if ``owner`` lacks a handler that the chart names."""
         missing = [
             handler
             for _, handler in self._table.values()
             if handler and not callable(getattr(owner, handler, None))
         ]
         if missing:
-            raise ChartError(f"{self.source.name}: {owner.__name__} lacks {missing}")
+            raise ChartError(
+                f"{self.definition.name}: {owner.__name__} lacks {missing}"
+            )
 
 
 class ChartInstance:
-    """One thing that moves through a chart, calling its owner's handlers."""
+    """The current state of one object, whose handlers run on transitions."""
 
     __slots__ = ("_chart", "_owner", "state")
 
     def __init__(self, chart: Chart, *, owner: object = None) -> None:
-        """Begin in the chart's initial state."""
+        """Start in the chart's initial state."""
         self._chart = chart
         self._owner = owner
-        self.state = chart.source.initial
+        self.state = chart.definition.initial
 
     @property
     def ended(self) -> bool:
-        """Tell whether a final state has been reached."""
-        return self.state in self._chart.source.final
+        """Return whether a final state has been reached."""
+        return self.state in self._chart.definition.final
 
     def fire(self, event: str, **context: Any) -> IllegalTransition | None:
-        """Move along ``event`` and run its handler; return why if it cannot."""
+        """Make the transition for ``event`` and run its handler, or return why not."""
         found = self._chart.advance(self.state, event)
         if isinstance(found, IllegalTransition):
             return found
@@ -115,10 +120,10 @@
 
 
 def load_chart(name: str) -> Chart:
-    """Load and check the chart file ``name`` of this package."""
+    """Load and validate the chart file ``name`` of this package."""
     raw = resources.files(__package__).joinpath(f"{name}.toml").read_bytes()
     try:
         parsed = tomllib.loads(raw.decode())
-        return Chart(msgspec.convert(parsed, ChartFile))
+        return Chart(msgspec.convert(parsed, ChartDefinition))
     except (tomllib.TOMLDecodeError, msgspec.ValidationError, ValueError) as error:
         raise ChartError(f"{name}: {error}") from error
--- a/src/firladder/_internal/utils/clocks.py
+++ b/src/firladder/_internal/utils/clocks.py
@@ -5,7 +5,7 @@
 
 
 class Clock(Protocol):
-    """A source of time, which tests replace so that they needn't wait."""
+    """A source of time, which tests replace to avoid waiting."""
 
     def read_monotonic(self) -> float:
         """Return seconds that never go back."""
--- a/src/firladder/_internal/utils/lag.py
+++ b/src/firladder/_internal/utils/lag.py
@@ -7,7 +7,7 @@
     """The longest delay of the event loop in the current and the previous window.
 
     A long scheduling pass or decoding delays every caller of the process. Average
-    processor time doesn't show it.
+    processor time does not show it.
     """
 
     def __init__(self) -> None:
