--- a/features/steps/product_fuzz_steps.py
+++ b/features/steps/product_fuzz_steps.py
@@ -6,7 +6,7 @@
 from hypothesis import HealthCheck, given, seed, settings
 from hypothesis import strategies as st
 
-from firladder._internal.cli.daemon_settings import SCHEDULER
+from firladder._internal.cli.daemon_settings import SCHEDULER_SETTINGS
 from firladder._internal.exceptions import Failure, SettingError
 from firladder._internal.models.api import TicketRequest
 from firladder._internal.models.configuration import ChangeSet
@@ -107,10 +107,12 @@
             fabric = Fabric(address="127.0.0.1:1", sender="x", logical=LogicalClock())
             return make_messages(), fabric._decode, (Envelope, type(None))
         if self.name == "the settings reader":
-            names = st.sampled_from([s.name for s in SCHEDULER]) | st.text(max_size=9)
+            names = st.sampled_from([s.name for s in SCHEDULER_SETTINGS]) | st.text(
+                max_size=9
+            )
             flag = st.builds("--{}={}".format, names, text) | text
             lists = st.lists(flag, max_size=4)
-            return lists, lambda a: read_settings(SCHEDULER, a, {}), tuple
+            return lists, lambda a: read_settings(SCHEDULER_SETTINGS, a, {}), tuple
         return text, _read_labels, (dict, SettingError)
 
     def run(self, count: int) -> None:
--- a/features/support/pages.py
+++ b/features/support/pages.py
@@ -1,8 +1,8 @@
 """What the pages must say, worked out from the code."""
 
 from firladder._internal import network  # noqa: F401
-from firladder._internal.cli.daemon_settings import GATEWAY, SCHEDULER
-from firladder._internal.commands.node import NODE
+from firladder._internal.cli.daemon_settings import GATEWAY_SETTINGS, SCHEDULER_SETTINGS
+from firladder._internal.commands.node import NODE_SETTINGS
 from firladder._internal.gateway.daemon import GatewayMetrics
 from firladder._internal.node.metrics import NodeMetrics
 from firladder._internal.scheduler.daemon import SchedulerMetrics
@@ -10,7 +10,7 @@
 from firladder._internal.utils.settings import Setting
 from standins.site import ROOT
 
-DAEMONS = {"G": GATEWAY, "S": SCHEDULER, "N": NODE}
+DAEMONS = {"G": GATEWAY_SETTINGS, "S": SCHEDULER_SETTINGS, "N": NODE_SETTINGS}
 
 
 def read_rows(page: str) -> list[list[str]]:
--- a/src/firladder/_internal/cli/client_settings.py
+++ b/src/firladder/_internal/cli/client_settings.py
@@ -11,7 +11,7 @@
     check_text,
 )
 
-CLIENT = (
+CLIENT_SETTINGS = (
     Setting("gateway", check_address, "ip:port of a gateway's HTTP", "127.0.0.1:8080"),
     Setting("format", check_choice("text", "json"), "form of the output", "text"),
     Setting("operator_token", check_optional, "token for operators", "", secret=True),
@@ -19,8 +19,8 @@
 
 URGENCY = check_choice("urgent", "normal", "overnight")
 
-REQUEST = (
-    *CLIENT,
+REQUEST_SETTINGS = (
+    *CLIENT_SETTINGS,
     Setting("organisation", check_text, "organisation that asks"),
     Setting("deadline_ms", check_integer(1, 600_000), "time for the answer", "5000"),
     Setting("urgency", URGENCY, "urgent, normal or overnight", "normal"),
@@ -29,8 +29,8 @@
     Setting("labels", check_labels, "name=value,... that rules match", ""),
 )
 
-SUBMIT = (
-    *CLIENT,
+SUBMIT_SETTINGS = (
+    *CLIENT_SETTINGS,
     Setting("id", check_optional, "id of the job", ""),
     Setting("organisation", check_optional, "organisation of the job", ""),
     Setting("members", check_integer(1, 1024), "tasks of the gang", "1"),
@@ -44,14 +44,14 @@
     Setting("wait", check_optional, "follow the job to its end", "", switch=True),
 )
 
-JOBS = (
-    *CLIENT,
+JOBS_SETTINGS = (
+    *CLIENT_SETTINGS,
     Setting("organisation", check_optional, "only of this organisation", ""),
     Setting("state", check_optional, "only in this state", ""),
 )
 
-CONFIG = (
-    *CLIENT,
+CONFIG_SETTINGS = (
+    *CLIENT_SETTINGS,
     Setting("dry_run", check_optional, "change nothing", "", switch=True),
     Setting(
         "expected_revision",
@@ -61,4 +61,6 @@
     ),
 )
 
-CHECK = (Setting("workers", check_optional, "JSON file of the VM list's workers", ""),)
+CHECK_SETTINGS = (
+    Setting("workers", check_optional, "JSON file of the VM list's workers", ""),
+)
--- a/src/firladder/_internal/cli/daemon_settings.py
+++ b/src/firladder/_internal/cli/daemon_settings.py
@@ -21,12 +21,17 @@
     check_text,
     check_url,
 )
-from .client_settings import CONFIG, JOBS, REQUEST, SUBMIT
+from .client_settings import (
+    CONFIG_SETTINGS,
+    JOBS_SETTINGS,
+    REQUEST_SETTINGS,
+    SUBMIT_SETTINGS,
+)
 
 LEAST_SECRET = 32
 """Characters; it is hashed and not stretched, so it must not be guessable."""
 
-SHARED = (
+SHARED_SETTINGS = (
     Setting("vm", check_text, "name of the entry VM this process runs on"),
     Setting("failure_domain", check_text, "failure domain of the VM"),
     Setting("address", check_address, "ip:port for messages between processes"),
@@ -66,15 +71,15 @@
     ),
 )
 
-GATEWAY = (
-    *SHARED,
+GATEWAY_SETTINGS = (
+    *SHARED_SETTINGS,
     Setting(
         "queue_limit", check_integer(1, 100_000), "requests queued at most", "2000"
     ),
 )
 
-SCHEDULER = (
-    *SHARED,
+SCHEDULER_SETTINGS = (
+    *SHARED_SETTINGS,
     Setting("leader_ttl_s", check_integer(1, 60), "leadership lease, s", "5"),
     Setting("task_ttl_s", check_number(0.5, 600), "lease of confirmed tasks, s", "30"),
     Setting(
@@ -126,7 +131,14 @@
     """
     known = {
         setting.variable
-        for setting in (*GATEWAY, *SCHEDULER, *REQUEST, *SUBMIT, *JOBS, *CONFIG)
+        for setting in (
+            *GATEWAY_SETTINGS,
+            *SCHEDULER_SETTINGS,
+            *REQUEST_SETTINGS,
+            *SUBMIT_SETTINGS,
+            *JOBS_SETTINGS,
+            *CONFIG_SETTINGS,
+        )
     }
     mistyped = sorted(
         name
--- a/src/firladder/_internal/commands/check.py
+++ b/src/firladder/_internal/commands/check.py
@@ -4,7 +4,7 @@
 import sys
 from collections.abc import Mapping, Sequence
 
-from ..cli.client_settings import CHECK
+from ..cli.client_settings import CHECK_SETTINGS
 from ..cli.exits import EXIT_OK, EXIT_USAGE
 from ..cli.inputs import read_json
 from ..cli.output import write_failure, write_refusal
@@ -18,7 +18,7 @@
 
     name = "check"
     usage = "CHANGES.json"
-    settings = CHECK
+    settings = CHECK_SETTINGS
     examples = ("firladder check changes.json --workers=workers.json",)
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
--- a/src/firladder/_internal/commands/config.py
+++ b/src/firladder/_internal/commands/config.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..cli.calls import Reply, call_gateway
-from ..cli.client_settings import CONFIG
+from ..cli.client_settings import CONFIG_SETTINGS
 from ..cli.exits import EXIT_OK, EXIT_USAGE
 from ..cli.inputs import read_json
 from ..cli.output import write_answer, write_failure
@@ -23,7 +23,7 @@
 
     name = "config"
     usage = "show | diff CHANGES.json | apply CHANGES.json"
-    settings = CONFIG
+    settings = CONFIG_SETTINGS
     examples = (
         "firladder config show",
         "firladder config diff changes.json",
--- a/src/firladder/_internal/commands/daemons.py
+++ b/src/firladder/_internal/commands/daemons.py
@@ -4,10 +4,10 @@
 from typing import Any
 
 from ..cli.daemon_settings import (
-    GATEWAY,
     GATEWAY_CHECKS,
-    SCHEDULER,
+    GATEWAY_SETTINGS,
     SCHEDULER_CHECKS,
+    SCHEDULER_SETTINGS,
 )
 from ..cli.exits import EXIT_OK
 from ..utils.logs import configure_logs
@@ -43,7 +43,7 @@
     """Run a gateway."""
 
     name = "gateway"
-    settings = GATEWAY
+    settings = GATEWAY_SETTINGS
     cross_checks = GATEWAY_CHECKS
     examples = (
         "firladder gateway --vm=bern-1 --failure_domain=bern-halle "
@@ -60,7 +60,7 @@
     """Run a scheduler."""
 
     name = "scheduler"
-    settings = SCHEDULER
+    settings = SCHEDULER_SETTINGS
     cross_checks = SCHEDULER_CHECKS
     examples = (
         "firladder scheduler --vm=bern-1 --failure_domain=bern-halle "
--- a/src/firladder/_internal/commands/jobs.py
+++ b/src/firladder/_internal/commands/jobs.py
@@ -9,7 +9,7 @@
 from urllib.parse import quote, urlencode
 
 from ..cli.calls import Reply, call_gateway
-from ..cli.client_settings import CLIENT, JOBS, SUBMIT
+from ..cli.client_settings import CLIENT_SETTINGS, JOBS_SETTINGS, SUBMIT_SETTINGS
 from ..cli.exits import (
     EXIT_OK,
     EXIT_UNREACHABLE,
@@ -33,7 +33,7 @@
 
     name = "submit"
     usage = "[SPEC.json | -]"
-    settings = SUBMIT
+    settings = SUBMIT_SETTINGS
     examples = (
         "firladder submit --id=season-7 --organisation=squads --members=2 "
         "--accelerators=8",
@@ -76,7 +76,7 @@
     """List jobs."""
 
     name = "jobs"
-    settings = JOBS
+    settings = JOBS_SETTINGS
     examples = ("firladder jobs --state=running", "firladder jobs --format=json")
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
@@ -111,7 +111,7 @@
 
     name = "cancel"
     usage = "JOB"
-    settings = CLIENT
+    settings = CLIENT_SETTINGS
     examples = ("firladder cancel season-7",)
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
@@ -134,7 +134,7 @@
 
     name = "watch"
     usage = "JOB"
-    settings = CLIENT
+    settings = CLIENT_SETTINGS
     examples = ("firladder watch season-7",)
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
--- a/src/firladder/_internal/commands/node.py
+++ b/src/firladder/_internal/commands/node.py
@@ -2,15 +2,15 @@
 
 from collections.abc import Mapping, Sequence
 
-from ..cli.daemon_settings import SHARED
+from ..cli.daemon_settings import SHARED_SETTINGS
 from ..cli.exits import EXIT_OK
 from ..utils.logs import configure_logs
 from ..utils.settings import Resolved, Setting, check_text
 from .registry import Command
 
-NODE = (
+NODE_SETTINGS = (
     Setting("node_file", check_text, "settings file that the platform lays out (TOML)"),
-    *(setting for setting in SHARED if setting.name == "log_level"),
+    *(setting for setting in SHARED_SETTINGS if setting.name == "log_level"),
 )
 
 
@@ -18,7 +18,7 @@
     """Take jobs on an entry VM, and schedule them while this node leads."""
 
     name = "node"
-    settings = NODE
+    settings = NODE_SETTINGS
     examples = ("firladder node --node_file=/etc/firladder/node.toml",)
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
--- a/src/firladder/_internal/commands/request.py
+++ b/src/firladder/_internal/commands/request.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ..cli.calls import Reply, call_gateway
-from ..cli.client_settings import REQUEST
+from ..cli.client_settings import REQUEST_SETTINGS
 from ..cli.exits import EXIT_UNKNOWN, EXIT_USAGE, OUTCOME_EXITS
 from ..cli.inputs import read_json
 from ..cli.output import write_answer, write_failure, write_refusal
@@ -23,7 +23,7 @@
 
     name = "request"
     usage = "SERVICE [BODY.json | -]"
-    settings = REQUEST
+    settings = REQUEST_SETTINGS
     examples = (
         "firladder request planwerk week.json --organisation=kraftwerk "
         "--urgency=urgent",
--- a/src/firladder/_internal/commands/settings.py
+++ b/src/firladder/_internal/commands/settings.py
@@ -3,13 +3,16 @@
 import sys
 from collections.abc import Mapping, Sequence
 
-from ..cli.daemon_settings import GATEWAY, SCHEDULER
+from ..cli.daemon_settings import GATEWAY_SETTINGS, SCHEDULER_SETTINGS
 from ..cli.exits import EXIT_OK, EXIT_USAGE
 from ..cli.output import format_rows, write_failure
 from ..utils.settings import Resolved, Setting, read_settings
 from .registry import Command
 
-DAEMONS: Mapping[str, Sequence[Setting]] = {"gateway": GATEWAY, "scheduler": SCHEDULER}
+DAEMONS: Mapping[str, Sequence[Setting]] = {
+    "gateway": GATEWAY_SETTINGS,
+    "scheduler": SCHEDULER_SETTINGS,
+}
 
 
 class SettingsCommand(Command):
--- a/src/firladder/_internal/commands/status.py
+++ b/src/firladder/_internal/commands/status.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from ..cli.calls import call_gateway
-from ..cli.client_settings import CLIENT
+from ..cli.client_settings import CLIENT_SETTINGS
 from ..cli.output import write_answer
 from ..utils.settings import Resolved
 from .registry import Command
@@ -14,7 +14,7 @@
     """Show the fleet."""
 
     name = "status"
-    settings = CLIENT
+    settings = CLIENT_SETTINGS
     examples = ("firladder status", "firladder status --format=json")
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
--- a/src/firladder/_internal/commands/timeline.py
+++ b/src/firladder/_internal/commands/timeline.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ..cli.calls import call_json
-from ..cli.client_settings import CLIENT
+from ..cli.client_settings import CLIENT_SETTINGS
 from ..cli.exits import EXIT_OK, EXIT_UNREACHABLE
 from ..exceptions import NotSent, SentUnanswered
 from ..utils.events import EventRecord, merge_events
@@ -31,7 +31,7 @@
 
     name = "timeline"
     settings = (
-        *CLIENT,
+        *CLIENT_SETTINGS,
         *(
             Setting(name, check_optional, f"show only events of this {name}", "")
             for name in FILTERS
--- a/src/firladder/_internal/measure/decisions.py
+++ b/src/firladder/_internal/measure/decisions.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..cli.daemon_settings import SCHEDULER
+from ..cli.daemon_settings import SCHEDULER_SETTINGS
 from ..fleet.configuration import read_configuration
 from ..models.configuration import Cell, Configuration, Labels, Organisation, Rule
 from ..models.entry import Entry
@@ -28,7 +28,9 @@
 
 DOMAIN = "d-1"
 
-DEFAULT_PLACEMENT = next(str(s.default) for s in SCHEDULER if s.name == "placement")
+DEFAULT_PLACEMENT = next(
+    str(s.default) for s in SCHEDULER_SETTINGS if s.name == "placement"
+)
 
 
 def make_machines(count: int) -> list[Machine]:
