--- a/src/firladder/_internal/cli/__init__.py
+++ b/src/firladder/_internal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Parse the command line and choose exit codes."""
+"""Parse the command line, call gateways and format output."""
--- a/src/firladder/_internal/cli/calls.py
+++ b/src/firladder/_internal/cli/calls.py
@@ -1,4 +1,4 @@
-"""Blocking HTTP calls for the command line, which must start fast."""
+"""Make blocking HTTP calls without slow imports, so that commands start fast."""
 
 import http.client
 import json
@@ -10,11 +10,11 @@
 from ..utils.settings import Resolved
 
 TIMEOUT_S = 10.0
-"""Seconds for an answer; an operator's call takes milliseconds when all is well."""
+"""Default timeout; an operator's call normally takes milliseconds."""
 
 
 class Reply(NamedTuple):
-    """A gateway's answer: its status and decoded body."""
+    """A gateway's HTTP status and decoded JSON body."""
 
     status: int
     body: Any
@@ -29,12 +29,12 @@
     headers: Mapping[str, str] | None = None,
     timeout_s: float = TIMEOUT_S,
 ) -> Reply | NotSent | SentUnanswered:
-    """Return the answer, or how far the call came without one."""
+    """Return the reply, or a failure that tells whether the call was sent."""
     host, port = split_address(address)
     connection = http.client.HTTPConnection(host, port, timeout=timeout_s)
     try:
-        # Connected apart from the sending: only a call that never left may be
-        # told as "not run", and sent again without thought.
+        # Connect in a step of its own: only a call that was certainly not sent
+        # may be reported as not run and repeated without further conditions.
         connection.connect()
     except OSError as error:
         connection.close()
@@ -58,7 +58,7 @@
     *,
     timeout_s: float = TIMEOUT_S,
 ) -> Reply | NotSent | SentUnanswered:
-    """Call the gateway that the settings name, with the operators' token if set."""
+    """Call the gateway in the settings, with the operator token if one is set."""
     token = settings["operator_token"].value
     return call_json(
         settings["gateway"].value,
--- a/src/firladder/_internal/cli/client_settings.py
+++ b/src/firladder/_internal/cli/client_settings.py
@@ -1,4 +1,4 @@
-"""The settings that all client commands share."""
+"""The settings of the client commands."""
 
 from ..utils.settings import (
     Setting,
--- a/src/firladder/_internal/cli/daemon_settings.py
+++ b/src/firladder/_internal/cli/daemon_settings.py
@@ -1,4 +1,4 @@
-"""The settings that both daemons share, and those of each."""
+"""The settings of the daemons, and the checks between them."""
 
 import difflib
 import os
@@ -28,8 +28,9 @@
     SUBMIT_SETTINGS,
 )
 
-LEAST_SECRET = 32
-"""Characters; it is hashed and not stretched, so it must not be guessable."""
+MIN_SECRET_LENGTH = 32
+"""Characters of the fleet's secret. It is hashed without key stretching, so a short
+secret could be guessed."""
 
 SHARED_SETTINGS = (
     Setting("vm", check_text, "name of the entry VM this process runs on"),
@@ -64,7 +65,7 @@
     ),
     Setting(
         "fleet_secret",
-        check_secret(LEAST_SECRET),
+        check_secret(MIN_SECRET_LENGTH),
         "random text, the same on all VMs, that daemons prove to each other",
         "",
         secret=True,
@@ -95,8 +96,8 @@
 )
 
 
-def require_order(smaller: str, larger: str, why: str) -> CrossCheck:
-    """Return a check that one setting lies below another."""
+def require_below(smaller: str, larger: str, why: str) -> CrossCheck:
+    """Return a check that one setting is less than another."""
 
     def check(settings: Mapping[str, Resolved]) -> SettingError | None:
         low, high = settings[smaller].value, settings[larger].value
@@ -110,8 +111,8 @@
     return check
 
 
-def require_apart(settings: Mapping[str, Resolved]) -> SettingError | None:
-    """Refuse one address for both listeners, of which the second would not bind."""
+def require_distinct_addresses(settings: Mapping[str, Resolved]) -> SettingError | None:
+    """Reject the same address for both listeners, as the second could not bind."""
     if settings["address"].value != settings["http_address"].value:
         return None
     return SettingError(
@@ -120,14 +121,14 @@
     )
 
 
-def refuse_unknown_variables(
+def reject_unknown_variables(
     settings: Mapping[str, Resolved], environment: Mapping[str, str] = os.environ
 ) -> SettingError | None:
-    """Refuse a variable that looks like a setting and is none.
+    """Reject variables with the settings' prefix that are not settings.
 
-    A mistyped variable is otherwise passed over in silence, and the daemon runs
-    with a default that nobody chose. One environment may serve both daemons and
-    the commands beside them, so the settings of all of them are known here.
+    Otherwise a mistyped variable would be ignored silently and the daemon would
+    run with a default that nobody chose. Daemons and commands may share one
+    environment, so the settings of all of them are accepted.
     """
     known = {
         setting.variable
@@ -147,21 +148,21 @@
     )
     if not mistyped:
         return None
-    near = difflib.get_close_matches(mistyped[0], known, 1)
-    hint = f"; did you mean {near[0]}?" if near else ""
+    matches = difflib.get_close_matches(mistyped[0], known, 1)
+    hint = f"; did you mean {matches[0]}?" if matches else ""
     return SettingError(setting=mistyped[0], reason=f"is no setting{hint}")
 
 
-GATEWAY_CHECKS = (require_apart, refuse_unknown_variables)
+GATEWAY_CHECKS = (require_distinct_addresses, reject_unknown_variables)
 SCHEDULER_CHECKS = (
-    require_apart,
-    refuse_unknown_variables,
-    require_order(
+    require_distinct_addresses,
+    reject_unknown_variables,
+    require_below(
         "start_ttl_s",
         "task_ttl_s",
-        "a gang that starts in part must lapse before the leases of whole ones",
+        "leases of a partly started gang must expire before those of a running one",
     ),
-    require_order(
+    require_below(
         "heartbeat_s",
         "leader_ttl_s",
         "peers must hear of a leader before its lease is over",
--- a/src/firladder/_internal/cli/inputs.py
+++ b/src/firladder/_internal/cli/inputs.py
@@ -1,4 +1,4 @@
-"""Read JSON documents that a command line names."""
+"""Read the JSON documents named on the command line."""
 
 import json
 import sys
@@ -9,7 +9,7 @@
 
 
 def read_json(name: str) -> Any:
-    """Return the document in a file, or on standard input for ``-``."""
+    """Return the document in a file, or from standard input for ``-``."""
     try:
         text = sys.stdin.read() if name == "-" else Path(name).read_text()
         return json.loads(text)
--- a/src/firladder/_internal/cli/main.py
+++ b/src/firladder/_internal/cli/main.py
@@ -8,45 +8,45 @@
 from ..commands.registry import COMMANDS, Command, load_command
 from ..exceptions import SettingError
 from ..utils.settings import Setting, resolve_settings
-from .exits import EXIT_OK, EXIT_PIPE, EXIT_USAGE
+from .exit_codes import EXIT_OK, EXIT_PIPE, EXIT_USAGE
 
 HELP = ("-h", "--help", "help")
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the command named by the first argument."""
-    given = list(sys.argv[1:] if arguments is None else arguments)
+    """Run the command named by the first argument and return its exit code."""
+    args = list(sys.argv[1:] if arguments is None else arguments)
     try:
-        code = _run(given)
+        code = _run(args)
         sys.stdout.flush()
         return code
     except BrokenPipeError:
-        # ``firladder jobs | head`` closes the pipe early; a traceback would
-        # look like a fault. Python would flush once more at its end.
+        # ``firladder jobs | head`` closes the pipe early, which is no error. At
+        # exit Python flushes again, so standard output must be replaced.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return EXIT_PIPE
     except KeyboardInterrupt:
         return 130
 
 
-def _run(given: list[str]) -> int:
-    if not given or given[0] in HELP:
+def _run(args: list[str]) -> int:
+    if not args or args[0] in HELP:
         sys.stdout.write(format_overview())
         return EXIT_OK
-    command = load_command(given[0])
+    command = load_command(args[0])
     if command is None:
-        near = difflib.get_close_matches(given[0], COMMANDS, 1)
-        hint = f"; did you mean {near[0]}?" if near else "; see firladder --help"
-        sys.stderr.write(f"firladder: no command {given[0]!r}{hint}\n")
+        matches = difflib.get_close_matches(args[0], COMMANDS, 1)
+        hint = f"; did you mean {matches[0]}?" if matches else "; see firladder --help"
+        sys.stderr.write(f"firladder: no command {args[0]!r}{hint}\n")
         return EXIT_USAGE
-    if any(argument in HELP[:2] for argument in given[1:]):
+    if any(argument in HELP[:2] for argument in args[1:]):
         sys.stdout.write(format_help(command))
         return EXIT_OK
     try:
         if command.takes_any_flag:
-            return command.run({}, given[1:])
+            return command.run({}, args[1:])
         settings, rest = resolve_settings(
-            command.settings, given[1:], cross_checks=command.cross_checks
+            command.settings, args[1:], cross_checks=command.cross_checks
         )
         return command.run(settings, rest)
     except SettingError as error:
@@ -55,7 +55,7 @@
 
 
 def format_overview() -> str:
-    """Return the list of commands."""
+    """Return the usage text with all commands."""
     width = max(map(len, COMMANDS))
     lines = [f"  {name:<{width}}  {info.summary}" for name, info in COMMANDS.items()]
     return (
--- a/src/firladder/_internal/cli/output.py
+++ b/src/firladder/_internal/cli/output.py
@@ -1,4 +1,4 @@
-"""Write answers and failures for people or for scripts."""
+"""Write replies and failures as text or JSON."""
 
 import json
 import sys
@@ -8,7 +8,7 @@
 from ..exceptions import NotSent, SentUnanswered
 from ..utils.settings import Resolved
 from .calls import Reply
-from .exits import EXIT_OK, EXIT_REFUSED, EXIT_UNKNOWN, EXIT_UNREACHABLE
+from .exit_codes import EXIT_OK, EXIT_REFUSED, EXIT_UNKNOWN, EXIT_UNREACHABLE
 
 WRITES = ("POST", "DELETE")
 
@@ -16,34 +16,34 @@
 def write_answer(
     command: str,
     settings: Mapping[str, Resolved],
-    found: Reply | NotSent | SentUnanswered,
-    show: Callable[[Any], str],
+    reply: Reply | NotSent | SentUnanswered,
+    format_body: Callable[[Any], str],
     *,
-    reads_only: bool = False,
+    read_only: bool = False,
 ) -> int:
-    """Print an answer and return its exit code; failures go to standard error."""
-    if isinstance(found, NotSent):
-        return write_failure(command, found.reason, EXIT_UNREACHABLE)
-    if isinstance(found, SentUnanswered):
-        code = EXIT_UNREACHABLE if reads_only else EXIT_UNKNOWN
-        return write_failure(command, f"no answer: {found.reason}", code)
-    if found.status >= 400:
-        return write_refusal(command, found.body)
+    """Print a reply and return its exit code; failures go to standard error."""
+    if isinstance(reply, NotSent):
+        return write_failure(command, reply.reason, EXIT_UNREACHABLE)
+    if isinstance(reply, SentUnanswered):
+        code = EXIT_UNREACHABLE if read_only else EXIT_UNKNOWN
+        return write_failure(command, f"no answer: {reply.reason}", code)
+    if reply.status >= 400:
+        return write_refusal(command, reply.body)
     if settings["format"].value == "json":
-        sys.stdout.write(json.dumps(found.body) + "\n")
+        sys.stdout.write(json.dumps(reply.body) + "\n")
     else:
-        sys.stdout.write(show(found.body))
+        sys.stdout.write(format_body(reply.body))
     return EXIT_OK
 
 
 def write_failure(command: str, reason: str, code: int) -> int:
-    """Print why a command came to nothing, and return ``code``."""
+    """Print why a command failed, and return ``code``."""
     sys.stderr.write(f"firladder {command}: {reason}\n")
     return code
 
 
 def write_refusal(command: str, body: Any) -> int:
-    """Print a typed refusal and return its exit code."""
+    """Print a typed rejection and return its exit code."""
     if not isinstance(body, dict):
         return write_failure(command, f"unreadable refusal: {body!r}", EXIT_REFUSED)
     field = f" ({body['field']})" if body.get("field") else ""
@@ -54,9 +54,9 @@
     return write_failure(command, text, EXIT_UNKNOWN if uncertain else EXIT_REFUSED)
 
 
-def format_rows(head: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
-    """Return aligned columns, fit for reading and for ``awk``."""
-    table = [list(map(str, row)) for row in (head, *rows)]
+def format_rows(header: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
+    """Return the rows in aligned columns, for people and for tools like ``awk``."""
+    table = [list(map(str, row)) for row in (header, *rows)]
     widths = [max(map(len, column)) for column in zip(*table, strict=True)]
     lines = (
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
--- a/src/firladder/_internal/client.py
+++ b/src/firladder/_internal/client.py
@@ -21,7 +21,7 @@
 from .cli.calls import Reply, call_json
 from .exceptions import NotSent, SentUnanswered
 
-GRACE_S = 2.0
+REPLY_GRACE_S = 2.0
 """Seconds past a deadline that the gateway's own last answer may take."""
 
 PAUSE_S = 0.2
@@ -161,7 +161,7 @@
             path,
             body=None if body is None else json.dumps(body).encode(),
             headers=self._headers,
-            timeout_s=left_s + GRACE_S,
+            timeout_s=left_s + REPLY_GRACE_S,
         )
 
 
--- a/src/firladder/_internal/commands/__init__.py
+++ b/src/firladder/_internal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""One class a command, found through a lazy registry."""
+"""The commands, each a class that the registry imports on demand."""
--- a/src/firladder/_internal/commands/check.py
+++ b/src/firladder/_internal/commands/check.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 
 from ..cli.client_settings import CHECK_SETTINGS
-from ..cli.exits import EXIT_OK, EXIT_USAGE
+from ..cli.exit_codes import EXIT_OK, EXIT_USAGE
 from ..cli.inputs import read_json
 from ..cli.output import write_failure, write_refusal
 from ..utils.settings import Resolved
@@ -22,7 +22,7 @@
     examples = ("firladder check changes.json --workers=workers.json",)
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Say whether an empty fleet with these workers would accept the file."""
+        """Report whether an empty fleet with these workers would accept the file."""
         if len(arguments) != 1:
             return write_failure(self.name, "name one file", EXIT_USAGE)
         import msgspec
--- a/src/firladder/_internal/commands/completion.py
+++ b/src/firladder/_internal/commands/completion.py
@@ -1,9 +1,9 @@
-"""Print the script that lets a shell complete commands and flags."""
+"""Print a shell script that completes commands and flags."""
 
 import sys
 from collections.abc import Mapping, Sequence
 
-from ..cli.exits import EXIT_OK, EXIT_USAGE
+from ..cli.exit_codes import EXIT_OK, EXIT_USAGE
 from ..cli.output import write_failure
 from ..utils.settings import Resolved
 from .registry import COMMANDS, Command, load_command
--- a/src/firladder/_internal/commands/config.py
+++ b/src/firladder/_internal/commands/config.py
@@ -8,14 +8,14 @@
 
 from ..cli.calls import Reply, call_gateway
 from ..cli.client_settings import CONFIG_SETTINGS
-from ..cli.exits import EXIT_OK, EXIT_USAGE
+from ..cli.exit_codes import EXIT_OK, EXIT_USAGE
 from ..cli.inputs import read_json
 from ..cli.output import write_answer, write_failure
 from ..exceptions import SettingError
 from ..utils.settings import Resolved
 from .registry import Command
 
-FIELDS = {"organisation": "organisations", "rule": "rules", "labels": "labels"}
+FIELDS_BY_KIND = {"organisation": "organisations", "rule": "rules", "labels": "labels"}
 
 
 class ConfigCommand(Command):
@@ -32,7 +32,7 @@
     )
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Carry out the action that the first argument names."""
+        """Perform the action that the first argument names."""
         action, *rest = arguments or [""]
         if action == "show" and not rest:
             return self._show(settings)
@@ -42,29 +42,29 @@
         return write_failure(self.name, f"usage: {self.usage}", EXIT_USAGE)
 
     def _show(self, settings: Mapping[str, Resolved]) -> int:
-        found = call_gateway(settings, "GET", "/v1/config")
+        reply = call_gateway(settings, "GET", "/v1/config")
         return write_answer(
-            self.name, settings, found, format_configuration, reads_only=True
+            self.name, settings, reply, format_configuration, read_only=True
         )
 
     def _apply(
         self, settings: Mapping[str, Resolved], file: str, *, dry_run: bool
     ) -> int:
         changes = read_changes(file)
-        found = call_gateway(settings, "GET", "/v1/config")
-        if not isinstance(found, Reply) or found.status != 200:
-            return write_answer(self.name, settings, found, str, reads_only=True)
+        reply = call_gateway(settings, "GET", "/v1/config")
+        if not isinstance(reply, Reply) or reply.status != 200:
+            return write_answer(self.name, settings, reply, str, read_only=True)
         given = settings["expected_revision"].value
         body = {
-            "expected_revision": int(given or found.body["revision"]),
+            "expected_revision": int(given or reply.body["revision"]),
             "changes": changes,
             "dry_run": dry_run,
         }
         if settings["format"].value == "text":
-            sys.stdout.write("".join(compare_changes(found.body, changes)))
+            sys.stdout.write("".join(compare_changes(reply.body, changes)))
         answer = call_gateway(settings, "POST", "/v1/config", body)
         code = write_answer(
-            self.name, settings, answer, _format_accepted, reads_only=dry_run
+            self.name, settings, answer, _format_accepted, read_only=dry_run
         )
         if code == EXIT_OK:
             return code
@@ -73,9 +73,9 @@
 
 
 def read_changes(file: str) -> list[dict[str, Any]]:
-    """Return the changes of a file: a list, or an object with ``changes``."""
-    found = read_json(file)
-    changes = found.get("changes") if isinstance(found, dict) else found
+    """Return the changes in a file: a list, or an object with ``changes``."""
+    document = read_json(file)
+    changes = document.get("changes") if isinstance(document, dict) else document
     if not isinstance(changes, list) or not all(_is_change(c) for c in changes):
         reason = "needs a list of changes, each with kind, name and value"
         raise SettingError(setting=file, reason=reason)
@@ -89,9 +89,9 @@
 def compare_changes(
     configuration: Mapping[str, Any], changes: Iterable[Mapping[str, Any]]
 ) -> Iterable[str]:
-    """Yield a line for each change: what is there now and what would be."""
+    """Yield a line for each change, with the current and the new value."""
     for change in changes:
-        part = configuration.get(FIELDS.get(change["kind"], ""), {})
+        part = configuration.get(FIELDS_BY_KIND.get(change["kind"], ""), {})
         label = f"{change['kind']} {change['name']}"
         old, new = part.get(change["name"]), change.get("value")
         if old is None:
@@ -103,10 +103,12 @@
 
 
 def format_configuration(configuration: Mapping[str, Any]) -> str:
-    """Return the configuration, one part a line."""
+    """Return the configuration, one named part per line."""
     rows = itertools.chain.from_iterable(
         (f"{kind} {name} {json.dumps(value)}" for name, value in part.items())
-        for kind, part in ((k, configuration.get(f, {})) for k, f in FIELDS.items())
+        for kind, part in (
+            (k, configuration.get(f, {})) for k, f in FIELDS_BY_KIND.items()
+        )
     )
     return "\n".join([f"revision {configuration['revision']}", *rows]) + "\n"
 
--- a/src/firladder/_internal/commands/daemons.py
+++ b/src/firladder/_internal/commands/daemons.py
@@ -1,4 +1,4 @@
-"""Run one of the two daemons until it is told to stop."""
+"""Run the gateway or the scheduler until it is told to stop."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -9,14 +9,14 @@
     SCHEDULER_CHECKS,
     SCHEDULER_SETTINGS,
 )
-from ..cli.exits import EXIT_OK
+from ..cli.exit_codes import EXIT_OK
 from ..utils.logs import configure_logs
 from ..utils.settings import Resolved
 from .registry import Command
 
 
 def run_daemon(role: str, settings: Mapping[str, Resolved]) -> int:
-    """Build the daemon and run it to its end."""
+    """Build the daemon and run it until it stops."""
     from ..network import run_reactor
 
     configure_logs(
@@ -52,7 +52,7 @@
     )
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Serve callers and operators until SIGTERM or SIGINT."""
+        """Serve callers and operators until SIGTERM or SIGINT arrives."""
         return run_daemon("gateway", settings)
 
 
@@ -69,5 +69,5 @@
     )
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Stand for election and lead until SIGTERM or SIGINT."""
+        """Campaign for leadership and lead until SIGTERM or SIGINT arrives."""
         return run_daemon("scheduler", settings)
--- a/src/firladder/_internal/commands/evaluate.py
+++ b/src/firladder/_internal/commands/evaluate.py
@@ -1,9 +1,9 @@
-"""Put placement policies through seeded loads and print the outcomes."""
+"""Evaluate placement policies under seeded loads."""
 
 import sys
 from collections.abc import Mapping, Sequence
 
-from ..cli.exits import EXIT_OK
+from ..cli.exit_codes import EXIT_OK
 from ..evaluation.loads import LOADS
 from ..evaluation.report import evaluate, format_table
 from ..exceptions import SettingError
@@ -11,7 +11,7 @@
 from ..utils.settings import Resolved, Setting, check_text
 from .registry import Command
 
-POLICIES = "first_fit,fcfs,easy_backfill,youngest_first,cells"
+DEFAULT_POLICIES = "first_fit,fcfs,easy_backfill,youngest_first,cells"
 
 
 class EvaluateCommand(Command):
@@ -20,13 +20,13 @@
     name = "evaluate"
     settings = (
         Setting("loads", check_text, "loads to run, or all", "all"),
-        Setting("policies", check_text, "policies to compare", POLICIES),
+        Setting("policies", check_text, "policies to compare", DEFAULT_POLICIES),
         Setting("seeds", check_text, "seeds, separated by commas", "1,2"),
         Setting("racks", check_text, "racks in the failure domain: 1, 3 or 1,3", "1,3"),
     )
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Print one row for each load and policy."""
+        """Print a row for each load and policy."""
         wanted = settings["loads"].value
         loads = LOADS.list_names() if wanted == "all" else wanted.split(",")
         policies = settings["policies"].value.split(",")
@@ -44,7 +44,7 @@
 
 
 def check_names(setting: str, names: Sequence[str], known: Sequence[str]) -> None:
-    """Raise ``SettingError`` for a name that is not registered."""
+    """Raise ``SettingError`` if one of ``names`` is not in ``known``."""
     if unknown := [n for n in names if n not in known]:
         raise SettingError(
             setting=f"--{setting}",
@@ -53,7 +53,7 @@
 
 
 def read_numbers(setting: str, text: str) -> list[int]:
-    """Return numbers separated by commas; raise ``SettingError`` for others."""
+    """Return the integers in a comma-separated list, or raise ``SettingError``."""
     if not all(part.isdecimal() and int(part) > 0 for part in text.split(",")):
         raise SettingError(
             setting=f"--{setting}", reason="must be positive whole numbers: 1,2"
--- a/src/firladder/_internal/commands/evaluate_days.py
+++ b/src/firladder/_internal/commands/evaluate_days.py
@@ -1,9 +1,9 @@
-"""Put the scheduling core through seeded days and print what callers got."""
+"""Evaluate planners of the scheduling core over seeded days."""
 
 import sys
 from collections.abc import Mapping, Sequence
 
-from ..cli.exits import EXIT_OK
+from ..cli.exit_codes import EXIT_OK
 from ..evaluation.day_loads import DAYS
 from ..evaluation.day_policies import PLANNERS
 from ..evaluation.day_report import format_head, format_row, play_days
@@ -23,7 +23,7 @@
     )
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Print one row for each day and planner."""
+        """Print a row for each day and planner, as soon as it is known."""
         days = _choose("days", settings["days"].value, DAYS.list_names())
         known = PLANNERS.list_names()
         planners = _choose("planners", settings["planners"].value, known)
--- a/src/firladder/_internal/commands/evaluate_requests.py
+++ b/src/firladder/_internal/commands/evaluate_requests.py
@@ -1,9 +1,9 @@
-"""Put the policies on requests through seeded loads and print the outcomes."""
+"""Evaluate request policies under seeded loads."""
 
 import sys
 from collections.abc import Mapping, Sequence
 
-from ..cli.exits import EXIT_OK
+from ..cli.exit_codes import EXIT_OK
 from ..evaluation.request_report import POLICIES, print_requests_table
 from ..exceptions import SettingError
 from ..utils.settings import Resolved, Setting, check_text
@@ -19,7 +19,7 @@
     )
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Print one row for each load and set of policies."""
+        """Print a row for each load and set of policies."""
         policies = settings["policies"].value.split(",")
         if unknown := [p for p in policies if p not in POLICIES]:
             raise SettingError(
--- a/src/firladder/_internal/commands/jobs.py
+++ b/src/firladder/_internal/commands/jobs.py
@@ -10,22 +10,22 @@
 
 from ..cli.calls import Reply, call_gateway
 from ..cli.client_settings import CLIENT_SETTINGS, JOBS_SETTINGS, SUBMIT_SETTINGS
-from ..cli.exits import (
+from ..cli.exit_codes import (
     EXIT_OK,
     EXIT_UNREACHABLE,
     EXIT_USAGE,
-    OUTCOME_EXITS,
+    OUTCOME_EXIT_CODES,
 )
 from ..cli.inputs import read_json
 from ..cli.output import format_rows, write_answer, write_failure, write_refusal
 from ..utils.settings import Resolved
 from .registry import Command
 
-POLL_S = 1.0
-"""Seconds between looks at a job that runs for hours."""
+POLL_INTERVAL_S = 1.0
+"""Seconds between polls of a watched job, which may run for hours."""
 
-MOST_SILENT = 30
-"""Looks without an answer before watching gives up; the job goes on."""
+MAX_SILENT_POLLS = 30
+"""Consecutive polls without a reply after which ``watch`` gives up."""
 
 
 class SubmitCommand(Command):
@@ -41,16 +41,16 @@
     )
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Submit; the id makes a repeated submission harmless."""
+        """Submit the job; repeating this with the same id is harmless."""
         spec = read_json(arguments[0]) if arguments else _build_spec(settings)
         if not spec.get("id") or not spec.get("organisation"):
             reason = "a job needs --id and --organisation"
             return write_failure(self.name, reason, EXIT_USAGE)
-        found = call_gateway(settings, "POST", "/v1/jobs", spec)
+        reply = call_gateway(settings, "POST", "/v1/jobs", spec)
         code = write_answer(
             self.name,
             settings,
-            found,
+            reply,
             lambda job: f"{spec['id']} accepted for {job['failure_domain']}\n",
         )
         if code == EXIT_OK and settings["wait"].value == "true":
@@ -80,14 +80,14 @@
     examples = ("firladder jobs --state=running", "firladder jobs --format=json")
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Print the jobs that the store has, one a line."""
+        """Print the jobs in the store, one per line."""
         wanted = {n: settings[n].value for n in ("organisation", "state")}
         path = "/v1/jobs?" + urlencode({k: v for k, v in wanted.items() if v})
-        found = call_gateway(settings, "GET", path)
-        return write_answer(self.name, settings, found, _format_jobs, reads_only=True)
+        reply = call_gateway(settings, "GET", path)
+        return write_answer(self.name, settings, reply, _format_jobs, read_only=True)
 
 
-def _format_jobs(found: dict[str, Any]) -> str:
+def _format_jobs(body: dict[str, Any]) -> str:
     head = ("JOB", "ORGANISATION", "DOMAIN", "MEMBERS", "STATE", "OUTCOME", "ATTEMPT")
     return format_rows(
         head,
@@ -101,7 +101,7 @@
                 job.get("outcome") or "-",
                 job["attempt"],
             )
-            for job in found["jobs"]
+            for job in body["jobs"]
         ),
     )
 
@@ -115,11 +115,11 @@
     examples = ("firladder cancel season-7",)
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Ask for a job's end; its leader carries it out."""
+        """Request the cancellation, which the job's leader carries out."""
         if len(arguments) != 1:
             return write_failure(self.name, "name one job", EXIT_USAGE)
-        found = call_gateway(settings, "DELETE", f"/v1/jobs/{quote(arguments[0])}")
-        return write_answer(self.name, settings, found, _format_cancelled)
+        reply = call_gateway(settings, "DELETE", f"/v1/jobs/{quote(arguments[0])}")
+        return write_answer(self.name, settings, reply, _format_cancelled)
 
 
 def _format_cancelled(job: dict[str, Any]) -> str:
@@ -138,37 +138,37 @@
     examples = ("firladder watch season-7",)
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Print each change of a job; the exit code tells its outcome."""
+        """Print each change of a job and return its outcome as exit code."""
         if len(arguments) != 1:
             return write_failure(self.name, "name one job", EXIT_USAGE)
         return watch_job(settings, arguments[0])
 
 
 def watch_job(settings: Mapping[str, Resolved], job_id: str) -> int:
-    """Print a job's changes until it ends."""
-    shown = ""
-    silent = 0
-    for look in itertools.count():
-        if look:
-            time.sleep(POLL_S)
-        found = call_gateway(settings, "GET", f"/v1/jobs/{quote(job_id)}")
-        if not isinstance(found, Reply) or found.status >= 500:
-            # A gateway or the store is away; the job itself goes on.
-            silent += 1
-            if silent > MOST_SILENT:
-                reason = f"no word of {job_id}; the job goes on without watchers"
+    """Print a job's changes until it ends; return its outcome as exit code."""
+    last_line = ""
+    silent_polls = 0
+    for poll in itertools.count():
+        if poll:
+            time.sleep(POLL_INTERVAL_S)
+        reply = call_gateway(settings, "GET", f"/v1/jobs/{quote(job_id)}")
+        if not isinstance(reply, Reply) or reply.status >= 500:
+            # A gateway or the store is unavailable, which does not stop the job.
+            silent_polls += 1
+            if silent_polls > MAX_SILENT_POLLS:
+                reason = f"no reply about {job_id}; the job continues unwatched"
                 return write_failure("watch", reason, EXIT_UNREACHABLE)
             continue
-        silent = 0
-        if found.status >= 400:
-            return write_refusal("watch", found.body)
-        line = _format_progress(settings, found.body)
-        if line != shown:
+        silent_polls = 0
+        if reply.status >= 400:
+            return write_refusal("watch", reply.body)
+        line = _format_progress(settings, reply.body)
+        if line != last_line:
             sys.stdout.write(line)
             sys.stdout.flush()
-            shown = line
-        if found.body["state"] == "finished":
-            return OUTCOME_EXITS[found.body["outcome"]]
+            last_line = line
+        if reply.body["state"] == "finished":
+            return OUTCOME_EXIT_CODES[reply.body["outcome"]]
     raise AssertionError("unreachable")
 
 
--- a/src/firladder/_internal/commands/measure.py
+++ b/src/firladder/_internal/commands/measure.py
@@ -1,10 +1,10 @@
-"""Measure what each decision costs, and work capacity out from it."""
+"""Measure what each decision costs, and calculate capacity from that."""
 
 import sys
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-from ..cli.exits import EXIT_OK
+from ..cli.exit_codes import EXIT_OK
 from ..utils.settings import Resolved, Setting, check_optional
 from .registry import Command
 
@@ -25,20 +25,20 @@
     )
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Measure, print the fits, keep the points and fill the page."""
+        """Measure and print the fits; write the points and the page if wanted."""
         from ..measure.pages import fill_capacity
         from ..measure.series import format_table, read_series, write_series
 
         into, page = settings["into"].value, settings["page"].value
         if settings["keep"].value != "true":
-            # Installs the reactor that the measured modules expect.
+            # Installs the reactor that the measured modules require.
             from .. import network  # noqa: F401
             from ..measure.decisions import measure_all
 
-            found = measure_all()
+            measured = measure_all()
             if into:
-                write_series(Path(into), found)
-            sys.stdout.write(format_table(found))
+                write_series(Path(into), measured)
+            sys.stdout.write(format_table(measured))
         if page:
             text = fill_capacity(Path(page).read_text(), read_series(Path(into)))
             Path(page).write_text(text)
--- a/src/firladder/_internal/commands/model.py
+++ b/src/firladder/_internal/commands/model.py
@@ -3,7 +3,7 @@
 import sys
 from collections.abc import Mapping, Sequence
 
-from ..cli.exits import EXIT_OK, EXIT_USAGE
+from ..cli.exit_codes import EXIT_OK, EXIT_USAGE
 from ..exceptions import CheckerMissing
 from ..model import claims, configuration, gangs, leadership, runs  # noqa: F401
 from ..model.specification import SPECIFICATIONS, Verdict, check, find_by_guard
@@ -21,7 +21,7 @@
     )
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Print states and depth of each specification, or a counterexample."""
+        """Print each specification's states and depth, or a counterexample."""
         if settings["guards"].value:
             sys.stdout.write(format_guards())
             return EXIT_OK
@@ -44,12 +44,12 @@
         sys.stderr.write(f"firladder model: {verdict.reason}\n")
         return EXIT_USAGE
     sys.stdout.write(format_verdict(verdict))
-    sound = verdict.complete and not verdict.broken
-    return EXIT_OK if sound or verdict.without else 1
+    passed = verdict.complete and not verdict.broken
+    return EXIT_OK if passed or verdict.without else 1
 
 
 def format_verdict(verdict: Verdict) -> str:
-    """Return a verdict as lines of text."""
+    """Return the verdict, and the counterexample if there is one, as text."""
     removed = f" without {verdict.without}" if verdict.without else ""
     state = (
         "BROKEN" if verdict.broken else "holds" if verdict.complete else "unfinished"
@@ -65,7 +65,7 @@
 
 
 def format_guards() -> str:
-    """Return all guards with what each does."""
+    """Return all guards with a description of each."""
     return "".join(
         f"{s.name}\n" + "".join(f"  {g:<22} {what}\n" for g, what in s.guards.items())
         for s in SPECIFICATIONS.values()
--- a/src/firladder/_internal/commands/node.py
+++ b/src/firladder/_internal/commands/node.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping, Sequence
 
 from ..cli.daemon_settings import SHARED_SETTINGS
-from ..cli.exits import EXIT_OK
+from ..cli.exit_codes import EXIT_OK
 from ..utils.logs import configure_logs
 from ..utils.settings import Resolved, Setting, check_text
 from .registry import Command
@@ -22,7 +22,7 @@
     examples = ("firladder node --node_file=/etc/firladder/node.toml",)
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Serve until SIGTERM or SIGINT."""
+        """Serve until SIGTERM or SIGINT arrives."""
         from ..network import run_reactor
         from ..node.daemon import Node
 
--- a/src/firladder/_internal/commands/registry.py
+++ b/src/firladder/_internal/commands/registry.py
@@ -1,4 +1,4 @@
-"""The commands by name; each module is imported only when it is asked for."""
+"""The registry of commands, whose modules are imported only when needed."""
 
 import dataclasses
 import importlib
@@ -18,19 +18,19 @@
     examples: ClassVar[Sequence[str]] = ()
     cross_checks: ClassVar[Sequence[CrossCheck]] = ()
     takes_any_flag: ClassVar[bool] = False
-    """Whether the command gets its arguments unread, flags included."""
+    """Whether the command parses all its arguments itself, including flags."""
 
     @abstractmethod
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Carry the command out and return its exit code."""
+        """Run the command and return its exit code."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CommandInfo:
-    """Where a command lives, and what the overview says of it."""
+    """A command's module and class, and its summary in the overview."""
 
     module: str
-    type_name: str
+    class_name: str
     summary: str
 
 
@@ -62,10 +62,10 @@
 
 
 def load_command(name: str) -> Command | None:
-    """Import a command's module and return the command, or None."""
+    """Import a command's module and return the command, or None if unknown."""
     info = COMMANDS.get(name)
     if info is None:
         return None
     module = importlib.import_module(f".{info.module}", __package__)
-    command: Command = getattr(module, info.type_name)()
+    command: Command = getattr(module, info.class_name)()
     return command
--- a/src/firladder/_internal/commands/request.py
+++ b/src/firladder/_internal/commands/request.py
@@ -7,15 +7,15 @@
 
 from ..cli.calls import Reply, call_gateway
 from ..cli.client_settings import REQUEST_SETTINGS
-from ..cli.exits import EXIT_UNKNOWN, EXIT_USAGE, OUTCOME_EXITS
+from ..cli.exit_codes import EXIT_UNKNOWN, EXIT_USAGE, OUTCOME_EXIT_CODES
 from ..cli.inputs import read_json
 from ..cli.output import write_answer, write_failure, write_refusal
 from ..exceptions import NotSent, SentUnanswered
 from ..utils.settings import Resolved
 from .registry import Command
 
-GRACE_S = 2.0
-"""Seconds past the deadline that the gateway's own last answer may take."""
+REPLY_GRACE_S = 2.0
+"""Seconds after the deadline within which the gateway's final reply may arrive."""
 
 
 class RequestCommand(Command):
@@ -32,17 +32,17 @@
     )
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Send the request; the exit code tells its outcome."""
+        """Send the request and return its outcome as exit code."""
         if not 1 <= len(arguments) <= 2:
             return write_failure(self.name, f"usage: {self.usage}", EXIT_USAGE)
         body = read_json(arguments[1]) if len(arguments) == 2 else None
         request_id = settings["id"].value
         if not request_id:
-            found = call_gateway(settings, "POST", "/v1/tickets", {})
-            if not isinstance(found, Reply) or found.status != 200:
-                # No ticket, so nothing was asked of the service yet.
-                return write_answer(self.name, settings, found, str, reads_only=True)
-            request_id = found.body["ids"][0]
+            reply = call_gateway(settings, "POST", "/v1/tickets", {})
+            if not isinstance(reply, Reply) or reply.status != 200:
+                # Without a ticket, nothing was sent to the service.
+                return write_answer(self.name, settings, reply, str, read_only=True)
+            request_id = reply.body["ids"][0]
         return self._send(settings, arguments[0], request_id, body)
 
     def _send(
@@ -62,21 +62,21 @@
             "labels": settings["labels"].value,
             "body": body,
         }
-        found = call_gateway(
+        reply = call_gateway(
             settings,
             "POST",
             f"/v1/services/{service}/requests",
             req,
-            timeout_s=deadline_ms / 1000 + GRACE_S,
+            timeout_s=deadline_ms / 1000 + REPLY_GRACE_S,
         )
-        if isinstance(found, NotSent):
-            return write_answer(self.name, settings, found, str)
-        if isinstance(found, SentUnanswered):
-            text = f"unknown, {request_id} may have run: {found.reason}"
+        if isinstance(reply, NotSent):
+            return write_answer(self.name, settings, reply, str)
+        if isinstance(reply, SentUnanswered):
+            text = f"unknown, {request_id} may have run: {reply.reason}"
             return write_failure(self.name, text, EXIT_UNKNOWN)
-        if "outcome" not in found.body:
-            return write_refusal(self.name, found.body)
-        return _write_result(settings, found.body)
+        if "outcome" not in reply.body:
+            return write_refusal(self.name, reply.body)
+        return _write_result(settings, reply.body)
 
 
 def _write_result(settings: Mapping[str, Resolved], result: dict[str, Any]) -> int:
@@ -90,4 +90,4 @@
         if result.get("retry_after_s"):
             line += f"; come back in {result['retry_after_s']:g} s"
         sys.stderr.write(f"firladder request: {line}\n")
-    return OUTCOME_EXITS[result["outcome"]]
+    return OUTCOME_EXIT_CODES[result["outcome"]]
--- a/src/firladder/_internal/commands/settings.py
+++ b/src/firladder/_internal/commands/settings.py
@@ -1,10 +1,10 @@
-"""Print every setting of a daemon with its value and where that came from."""
+"""Print every setting of a daemon with its value and origin."""
 
 import sys
 from collections.abc import Mapping, Sequence
 
 from ..cli.daemon_settings import GATEWAY_SETTINGS, SCHEDULER_SETTINGS
-from ..cli.exits import EXIT_OK, EXIT_USAGE
+from ..cli.exit_codes import EXIT_OK, EXIT_USAGE
 from ..cli.output import format_rows, write_failure
 from ..utils.settings import Resolved, Setting, read_settings
 from .registry import Command
@@ -27,14 +27,14 @@
     takes_any_flag = True
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Print the settings as the daemon would see them here."""
+        """Print the settings that the daemon would have in this environment."""
         role, *flags = arguments or [""]
         if role not in DAEMONS:
             return write_failure(self.name, f"usage: {self.usage}", EXIT_USAGE)
-        found, problems, _ = read_settings(DAEMONS[role], flags)
+        resolved, problems, _ = read_settings(DAEMONS[role], flags)
         rows = (
-            (s.name, s.variable, found[s.name].describe(), found[s.name].origin)
-            if s.name in found
+            (s.name, s.variable, resolved[s.name].describe(), resolved[s.name].origin)
+            if s.name in resolved
             else (s.name, s.variable, "", "WRONG OR MISSING")
             for s in DAEMONS[role]
         )
--- a/src/firladder/_internal/commands/status.py
+++ b/src/firladder/_internal/commands/status.py
@@ -19,8 +19,8 @@
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
         """Print the state of every failure domain."""
-        found = call_gateway(settings, "GET", "/v1/status")
-        return write_answer(self.name, settings, found, format_status, reads_only=True)
+        reply = call_gateway(settings, "GET", "/v1/status")
+        return write_answer(self.name, settings, reply, format_status, read_only=True)
 
 
 def format_status(status: dict[str, Any]) -> str:
--- a/src/firladder/_internal/commands/timeline.py
+++ b/src/firladder/_internal/commands/timeline.py
@@ -1,4 +1,4 @@
-"""Merge the events of all processes into one time line."""
+"""Print the events of all processes as one time line."""
 
 import json
 import sys
@@ -10,7 +10,7 @@
 
 from ..cli.calls import call_json
 from ..cli.client_settings import CLIENT_SETTINGS
-from ..cli.exits import EXIT_OK, EXIT_UNREACHABLE
+from ..cli.exit_codes import EXIT_OK, EXIT_UNREACHABLE
 from ..exceptions import NotSent, SentUnanswered
 from ..utils.events import EventRecord, merge_events
 from ..utils.settings import Resolved, Setting, check_number, check_optional
@@ -21,9 +21,9 @@
 
 TERMINAL_COLUMNS = 120
 
-FOLLOW_PAUSE_S = 1.0
+FOLLOW_INTERVAL_S = 1.0
 
-ALL_TIME_S = 1e9
+MAX_SINCE_S = 1e9
 
 
 class TimelineCommand(Command):
@@ -39,9 +39,9 @@
         Setting("domain", check_optional, "only of this failure domain", ""),
         Setting(
             "since",
-            check_number(0, ALL_TIME_S),
+            check_number(0, MAX_SINCE_S),
             "only of the last so many seconds",
-            f"{ALL_TIME_S:.0f}",
+            f"{MAX_SINCE_S:.0f}",
         ),
         Setting("logs", check_optional, "log files of dead processes: FILE,...", ""),
         Setting("follow", check_optional, "go on with new events", "", switch=True),
@@ -53,61 +53,61 @@
     )
 
     def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
-        """Print the events of all processes that answer, in one order."""
+        """Print the events of all reachable processes in causal order."""
         logs = [p for p in settings["logs"].value.split(",") if p]
-        found = call_json(settings["gateway"].value, "GET", "/v1/status")
-        if isinstance(found, NotSent | SentUnanswered):
-            sys.stderr.write(f"firladder timeline: {found.reason}\n")
+        reply = call_json(settings["gateway"].value, "GET", "/v1/status")
+        if isinstance(reply, NotSent | SentUnanswered):
+            sys.stderr.write(f"firladder timeline: {reply.reason}\n")
             if not logs:
                 return EXIT_UNREACHABLE
             source = LiveSource({"failure_domains": ()})
         else:
-            source = LiveSource(found[1])
+            source = LiveSource(reply[1])
         printer = EventPrinter(settings)
         printer.print_new([*read_logs(logs), *source.fetch()])
         while settings["follow"].value:
-            time.sleep(FOLLOW_PAUSE_S)
+            time.sleep(FOLLOW_INTERVAL_S)
             printer.print_new(source.fetch())
         return EXIT_OK
 
 
 class EventPrinter:
-    """Print each wanted event once."""
+    """Print each matching event once."""
 
     def __init__(self, settings: Mapping[str, Resolved]) -> None:
-        """Take filters and form from the settings."""
-        self._wanted = {f: settings[f].value for f in FILTERS if settings[f].value}
+        """Take the filters and the output format from the settings."""
+        self._filters = {f: settings[f].value for f in FILTERS if settings[f].value}
         self._domain = settings["domain"].value
-        self._oldest = time.time() - settings["since"].value
-        self._form = settings["format"].value
+        self._min_wall = time.time() - settings["since"].value
+        self._output_format = settings["format"].value
         self._seen: set[tuple[str, int, float]] = set()
 
     def print_new(self, events: Iterable[EventRecord]) -> None:
-        """Print those of the events that were not printed before, in order."""
-        fresh = {(e.process, e.clock, e.wall): e for e in events}
-        new = [e for key, e in fresh.items() if key not in self._seen]
-        self._seen |= fresh.keys()
+        """Print the events that were not printed before, in causal order."""
+        events_by_key = {(e.process, e.clock, e.wall): e for e in events}
+        new = [e for key, e in events_by_key.items() if key not in self._seen]
+        self._seen |= events_by_key.keys()
         columns = TERMINAL_COLUMNS if sys.stdout.isatty() else None
         for event in merge_events(self._select(new)):
-            sys.stdout.write(_format_event(event, self._form, columns))
+            sys.stdout.write(_format_event(event, self._output_format, columns))
         sys.stdout.flush()
 
     def _select(self, events: Iterable[EventRecord]) -> list[EventRecord]:
         return [
             e
-            for e in filter_events(events, self._wanted)
-            if self._domain in ("", e.domain) and e.wall >= self._oldest
+            for e in filter_events(events, self._filters)
+            if self._domain in ("", e.domain) and e.wall >= self._min_wall
         ]
 
 
 def filter_events(
-    events: Iterable[EventRecord], wanted: Mapping[str, str]
+    events: Iterable[EventRecord], filters: Mapping[str, str]
 ) -> list[EventRecord]:
-    """Return the events that mention every wanted value."""
+    """Return the events whose details match every filter."""
     return [
         event
         for event in events
-        if all(_mentions(event.details, k, v) for k, v in wanted.items())
+        if all(_mentions(event.details, k, v) for k, v in filters.items())
     ]
 
 
@@ -116,8 +116,8 @@
     return str(details.get(name)) == value or value in map(str, listed)
 
 
-def _format_event(event: EventRecord, form: str, columns: int | None) -> str:
-    if form == "json":
+def _format_event(event: EventRecord, output_format: str, columns: int | None) -> str:
+    if output_format == "json":
         return json.dumps(msgspec.to_builtins(event)) + "\n"
     details = " ".join(
         f"{k}={_format_value(v)}" for k, v in event.details.items() if v is not None
--- a/src/firladder/_internal/commands/timeline_sources.py
+++ b/src/firladder/_internal/commands/timeline_sources.py
@@ -1,4 +1,4 @@
-"""Read events of running processes, and of dead ones from their logs."""
+"""Read events from running processes and from the logs of others."""
 
 import json
 import sys
@@ -11,9 +11,9 @@
 from ..exceptions import NotSent, SentUnanswered
 from ..utils.events import EventRecord
 
-LATE_CLOCKS = 1000
-"""Lamport time by which an event may be written down late: it is stamped
-before the write that it tells of, which takes seconds at most."""
+MAX_CLOCK_DELAY = 1000
+"""Lamport time by which an event may be recorded late. An event is stamped before the
+store write that it reports, which takes seconds at most."""
 
 LOG_FIELDS = frozenset(
     (
@@ -28,37 +28,37 @@
         "timestamp",
     )
 )
-"""Fields of a log line that are not details of its event."""
+"""Fields of a log line that are not details of the event."""
 
 
 class LiveSource:
-    """Events of all processes that a gateway knows."""
+    """The events of all processes that a gateway knows."""
 
     def __init__(self, status: dict[str, Any]) -> None:
-        """Take the processes from the fleet's status."""
+        """Take the processes' addresses from the fleet's status."""
         self._addresses = [
             (process["vm"], process["http_address"])
             for domain in status["failure_domains"]
             for process in domain["processes"]
         ]
-        self._positions: dict[str, int] = {}
+        self._last_clocks: dict[str, int] = {}
 
     def fetch(self) -> Iterator[EventRecord]:
-        """Yield events since the last time, some of them again."""
+        """Yield the events since the previous call, and some earlier ones again."""
         for vm, address in self._addresses:
-            position = self._positions.get(address, 0)
-            after = max(0, position - LATE_CLOCKS)
-            found = call_json(address, "GET", f"/v1/events?after={after}")
-            if isinstance(found, NotSent | SentUnanswered):
-                sys.stderr.write(f"no events of {vm}: {found.reason}\n")
+            last_clock = self._last_clocks.get(address, 0)
+            after = max(0, last_clock - MAX_CLOCK_DELAY)
+            reply = call_json(address, "GET", f"/v1/events?after={after}")
+            if isinstance(reply, NotSent | SentUnanswered):
+                sys.stderr.write(f"no events of {vm}: {reply.reason}\n")
                 continue
-            events = msgspec.convert(found[1]["events"], list[EventRecord])
-            self._positions[address] = max([position, *(e.clock for e in events)])
+            events = msgspec.convert(reply[1]["events"], list[EventRecord])
+            self._last_clocks[address] = max([last_clock, *(e.clock for e in events)])
             yield from events
 
 
 def read_logs(paths: Iterable[str]) -> Iterator[EventRecord]:
-    """Yield the events in log files; other lines are passed over."""
+    """Yield the events in log files, skipping other lines."""
     for path in paths:
         try:
             with open(path, encoding="utf-8", errors="replace") as lines:
@@ -69,15 +69,15 @@
 
 def _read_line(line: str) -> EventRecord | None:
     try:
-        found = json.loads(line)
+        fields = json.loads(line)
         return EventRecord(
-            int(found["clock"]),
-            float(found["event_wall"]),
-            str(found["process"]),
-            int(found["event_number"]),
-            str(found["event"]),
-            {k: v for k, v in found.items() if k not in LOG_FIELDS},
-            str(found["event_domain"]),
+            int(fields["clock"]),
+            float(fields["event_wall"]),
+            str(fields["process"]),
+            int(fields["event_number"]),
+            str(fields["event"]),
+            {k: v for k, v in fields.items() if k not in LOG_FIELDS},
+            str(fields["event_domain"]),
         )
     except (ValueError, KeyError, TypeError):
         return None
