--- a/src/firladder/__init__.py
+++ b/src/firladder/__init__.py
@@ -1,7 +1,7 @@
-"""Schedule multi-accelerator jobs under organisation guarantees.
+"""Schedule multi-accelerator jobs while keeping organisations' guarantees.
 
-``Client`` sends requests and jobs to a fleet; it is imported when first used, so
-that ``import firladder`` costs nothing.
+``Client`` sends requests and jobs to a fleet. It is imported on first use, so that
+``import firladder`` stays fast.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -15,7 +15,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import the client when it is first asked for."""
+    """Import the client on first use."""
     if name in ("Answer", "Client"):
         from ._internal import client
 
--- a/src/firladder/__main__.py
+++ b/src/firladder/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line with ``python -m firladder``."""
+"""Run the command line as ``python -m firladder``."""
 
 import sys
 
--- a/src/firladder/_internal/client.py
+++ b/src/firladder/_internal/client.py
@@ -1,12 +1,12 @@
-"""A small blocking client of the HTTP interface, with truthful retries.
+"""A small blocking client of the HTTP interface.
 
-What is sent again is only what has certainly not run, or may run twice:
+The client retries only a call that certainly did not run, or that may run twice:
 
-- a call that could not be connected goes to the next gateway;
-- a refusal with a time to come back is repeated then, within the deadline, under
-  the same id;
-- a call that was sent and not answered is repeated, under the same id, only if
-  the request is idempotent; otherwise its outcome is "unknown".
+- if it cannot connect, it sends the call to the next gateway;
+- if the call is rejected with a retry time, it sends the call again then, within
+  the deadline and under the same id;
+- if the call was sent and no reply came, it sends the call again, under the same
+  id, only if the request is idempotent; otherwise the outcome is "unknown".
 """
 
 import dataclasses
@@ -22,20 +22,20 @@
 from .exceptions import NotSent, SentUnanswered
 
 REPLY_GRACE_S = 2.0
-"""Seconds past a deadline that the gateway's own last answer may take."""
+"""Seconds after a deadline within which the gateway's final reply may arrive."""
 
-PAUSE_S = 0.2
-"""Seconds between rounds over gateways none of which can be reached."""
+RETRY_PAUSE_S = 0.2
+"""Seconds between two rounds over gateways of which none replied."""
 
-CALL_S = 10.0
+CALL_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """What became of a request, or of a call about a job.
+    """The outcome of a request, or of a call about a job.
 
-    ``outcome`` is "done", "failed", "not_run" or "unknown"; of a call about a job
-    it tells of the call, not of the job. ``failure`` is the typed reason.
+    ``outcome`` is "done", "failed", "not_run" or "unknown". For a call about a job
+    it describes the call, not the job. ``failure`` is the typed reason.
     """
 
     outcome: str
@@ -45,7 +45,7 @@
 
 
 class Client:
-    """Callers' and operators' calls through any of several gateways."""
+    """Make callers' and operators' calls through any of several gateways."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         sleep: Callable[[float], None] = time.sleep,
         read_clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Use ``gateways`` (``ip:port``) in their order, the next one after a fault."""
+        """Use ``gateways`` (``ip:port``) in order, the next one after a failure."""
         if not gateways:
             raise ValueError("at least one gateway is needed")
         self._gateways = itertools.cycle(tuple(gateways))
@@ -76,16 +76,16 @@
         idempotent: bool = False,
         labels: Mapping[str, str] | None = None,
     ) -> Answer:
-        """Send one request and return what became of it, within the deadline."""
-        ends_at = self._read_clock() + deadline_s
+        """Send one request and return its outcome, within the deadline."""
+        deadline = self._read_clock() + deadline_s
         request_id = uuid.uuid4().hex
         if not idempotent:
-            ticket = self._call("POST", "/v1/tickets", {}, ends_at, resend=True)
+            ticket = self._call("POST", "/v1/tickets", {}, deadline, resend=True)
             if ticket.outcome != "done":
-                # Nothing was asked of the service yet.
+                # Without a ticket, nothing was sent to the service.
                 return dataclasses.replace(ticket, outcome="not_run")
             request_id = ticket.body["ids"][0]
-        req = {
+        message = {
             "id": request_id,
             "organisation": organisation,
             "urgency": urgency,
@@ -94,80 +94,88 @@
             "body": body,
         }
         path = f"/v1/services/{quote(service)}/requests"
-        answer = self._call("POST", path, req, ends_at, resend=idempotent)
+        answer = self._call("POST", path, message, deadline, resend=idempotent)
         return dataclasses.replace(answer, id=request_id)
 
     def submit(self, spec: Mapping[str, Any]) -> Answer:
-        """Submit a job; its id makes a repetition harmless."""
-        return self._call("POST", "/v1/jobs", dict(spec), self._end(), resend=True)
+        """Submit a job; repeating this with the same id is harmless."""
+        return self._call(
+            "POST", "/v1/jobs", dict(spec), self._default_deadline(), resend=True
+        )
 
     def find(self, job: str) -> Answer:
-        """Look a job up."""
+        """Return a job's state."""
         return self._call(
-            "GET", f"/v1/jobs/{quote(job)}", None, self._end(), resend=True
+            "GET", f"/v1/jobs/{quote(job)}", None, self._default_deadline(), resend=True
         )
 
     def list_jobs(self, *, organisation: str = "", state: str = "") -> Answer:
-        """List jobs, of one organisation or state, or all."""
+        """List all jobs, or those of one organisation or state."""
         query = urlencode({"organisation": organisation, "state": state})
-        return self._call("GET", f"/v1/jobs?{query}", None, self._end(), resend=True)
+        return self._call(
+            "GET", f"/v1/jobs?{query}", None, self._default_deadline(), resend=True
+        )
 
     def cancel(self, job: str) -> Answer:
-        """Ask for a job's end; asking twice does no harm."""
+        """Request a job's cancellation; repeating this is harmless."""
         return self._call(
-            "DELETE", f"/v1/jobs/{quote(job)}", None, self._end(), resend=True
+            "DELETE",
+            f"/v1/jobs/{quote(job)}",
+            None,
+            self._default_deadline(),
+            resend=True,
         )
 
-    def _end(self) -> float:
-        return self._read_clock() + CALL_S
+    def _default_deadline(self) -> float:
+        return self._read_clock() + CALL_TIMEOUT_S
 
     def _call(
-        self, method: str, path: str, body: Any, ends_at: float, *, resend: bool
+        self, method: str, path: str, body: Any, deadline: float, *, resend: bool
     ) -> Answer:
-        """Call until there is a final answer or the time is over."""
-        unreached = 0
-        in_doubt = False
+        """Call until there is a final answer or the deadline has passed."""
+        failed_calls = 0
+        may_have_run = False
         while True:
-            left_s = ends_at - self._read_clock()
-            if left_s <= 0:
-                return _give_up(in_doubt)
-            found = self._send(method, path, body, left_s)
-            if isinstance(found, Reply):
-                answer = _read_answer(found)
-                pause_s = _read_pause(answer)
-                if pause_s is None or self._read_clock() + pause_s >= ends_at:
-                    if in_doubt and answer.outcome == "not_run":
+            remaining_s = deadline - self._read_clock()
+            if remaining_s <= 0:
+                return _give_up(may_have_run)
+            reply = self._send(method, path, body, remaining_s)
+            if isinstance(reply, Reply):
+                answer = _read_answer(reply)
+                delay_s = _read_retry_delay(answer)
+                if delay_s is None or self._read_clock() + delay_s >= deadline:
+                    if may_have_run and answer.outcome == "not_run":
                         return dataclasses.replace(answer, outcome="unknown")
                     return answer
-                self._sleep(pause_s)
+                self._sleep(delay_s)
                 continue
             self._gateway = next(self._gateways)
-            if isinstance(found, SentUnanswered):
-                in_doubt = True
+            if isinstance(reply, SentUnanswered):
+                may_have_run = True
                 if not resend:
-                    return _give_up(in_doubt, found.reason)
-            unreached += 1
-            if unreached % self._count == 0:
-                self._sleep(PAUSE_S)
+                    return _give_up(may_have_run, reply.reason)
+            failed_calls += 1
+            if failed_calls % self._count == 0:
+                self._sleep(RETRY_PAUSE_S)
 
     def _send(
-        self, method: str, path: str, body: Any, left_s: float
+        self, method: str, path: str, body: Any, remaining_s: float
     ) -> Reply | NotSent | SentUnanswered:
         if isinstance(body, dict) and "idempotent" in body:
-            body = {**body, "deadline_ms": max(1, int(left_s * 1000))}
+            body = {**body, "deadline_ms": max(1, int(remaining_s * 1000))}
         return call_json(
             self._gateway,
             method,
             path,
             body=None if body is None else json.dumps(body).encode(),
             headers=self._headers,
-            timeout_s=left_s + REPLY_GRACE_S,
+            timeout_s=remaining_s + REPLY_GRACE_S,
         )
 
 
-def _give_up(in_doubt: bool, reason: str = "the deadline is over") -> Answer:
-    kind = "sent_unanswered" if in_doubt else "not_sent"
-    outcome = "unknown" if in_doubt else "not_run"
+def _give_up(may_have_run: bool, reason: str = "the deadline is over") -> Answer:
+    kind = "sent_unanswered" if may_have_run else "not_sent"
+    outcome = "unknown" if may_have_run else "not_run"
     return Answer(outcome, failure={"type": kind, "reason": reason})
 
 
@@ -181,9 +189,9 @@
     return Answer("unknown" if uncertain else "not_run", failure=body)
 
 
-def _read_pause(answer: Answer) -> float | None:
-    """Return the seconds after which a refusal may be asked again, if it may."""
+def _read_retry_delay(answer: Answer) -> float | None:
+    """Return the seconds until a rejected call may be retried, or None."""
     if answer.outcome != "not_run" or not answer.failure:
         return None
-    pause_s = answer.failure.get("retry_after_s")
-    return float(pause_s) if pause_s else None
+    delay_s = answer.failure.get("retry_after_s")
+    return float(delay_s) if delay_s else None
