--- a/src/firladder/_internal/cli/calls.py
+++ b/src/firladder/_internal/cli/calls.py
@@ -7,7 +7,7 @@
 
 from ..exceptions import NotSent, SentUnanswered
 from ..utils.addresses import split_address
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 
 TIMEOUT_S = 10.0
 """Default timeout; an operator's call normally takes milliseconds."""
@@ -51,7 +51,7 @@
 
 
 def call_gateway(
-    settings: Mapping[str, Resolved],
+    settings: Mapping[str, ResolvedSetting],
     method: str,
     path: str,
     body: Any = None,
--- a/src/firladder/_internal/cli/daemon_settings.py
+++ b/src/firladder/_internal/cli/daemon_settings.py
@@ -8,7 +8,7 @@
 from ..utils.settings import (
     ENVIRONMENT_PREFIX,
     CrossCheck,
-    Resolved,
+    ResolvedSetting,
     Setting,
     check_address,
     check_addresses,
@@ -99,7 +99,7 @@
 def require_below(smaller: str, larger: str, why: str) -> CrossCheck:
     """Return a check that one setting is less than another."""
 
-    def check(settings: Mapping[str, Resolved]) -> SettingError | None:
+    def check(settings: Mapping[str, ResolvedSetting]) -> SettingError | None:
         low, high = settings[smaller].value, settings[larger].value
         if low < high:
             return None
@@ -111,7 +111,9 @@
     return check
 
 
-def require_distinct_addresses(settings: Mapping[str, Resolved]) -> SettingError | None:
+def require_distinct_addresses(
+    settings: Mapping[str, ResolvedSetting],
+) -> SettingError | None:
     """Reject the same address for both listeners, as the second could not bind."""
     if settings["address"].value != settings["http_address"].value:
         return None
@@ -122,7 +124,7 @@
 
 
 def reject_unknown_variables(
-    settings: Mapping[str, Resolved], environment: Mapping[str, str] = os.environ
+    settings: Mapping[str, ResolvedSetting], environment: Mapping[str, str] = os.environ
 ) -> SettingError | None:
     """Reject variables with the settings' prefix that are not settings.
 
--- a/src/firladder/_internal/cli/output.py
+++ b/src/firladder/_internal/cli/output.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ..exceptions import NotSent, SentUnanswered
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 from .calls import Reply
 from .exit_codes import EXIT_OK, EXIT_REFUSED, EXIT_UNKNOWN, EXIT_UNREACHABLE
 
@@ -15,7 +15,7 @@
 
 def write_answer(
     command: str,
-    settings: Mapping[str, Resolved],
+    settings: Mapping[str, ResolvedSetting],
     reply: Reply | NotSent | SentUnanswered,
     format_body: Callable[[Any], str],
     *,
--- a/src/firladder/_internal/commands/check.py
+++ b/src/firladder/_internal/commands/check.py
@@ -8,7 +8,7 @@
 from ..cli.exit_codes import EXIT_OK, EXIT_USAGE
 from ..cli.inputs import read_json
 from ..cli.output import write_failure, write_refusal
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 from .config import read_changes
 from .registry import Command
 
@@ -21,7 +21,9 @@
     settings = CHECK_SETTINGS
     examples = ("firladder check changes.json --workers=workers.json",)
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Report whether an empty fleet with these workers would accept the file."""
         if len(arguments) != 1:
             return write_failure(self.name, "name one file", EXIT_USAGE)
--- a/src/firladder/_internal/commands/completion.py
+++ b/src/firladder/_internal/commands/completion.py
@@ -5,7 +5,7 @@
 
 from ..cli.exit_codes import EXIT_OK, EXIT_USAGE
 from ..cli.output import write_failure
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 from .registry import COMMANDS, Command, load_command
 
 TEMPLATE = """\
@@ -32,7 +32,9 @@
     usage = "bash"
     examples = ('eval "$(firladder completion bash)"',)
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Print the script for the shell named."""
         if list(arguments) != ["bash"]:
             return write_failure(self.name, "only bash is known", EXIT_USAGE)
--- a/src/firladder/_internal/commands/config.py
+++ b/src/firladder/_internal/commands/config.py
@@ -12,7 +12,7 @@
 from ..cli.inputs import read_json
 from ..cli.output import write_answer, write_failure
 from ..exceptions import SettingError
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 from .registry import Command
 
 FIELDS_BY_KIND = {"organisation": "organisations", "rule": "rules", "labels": "labels"}
@@ -31,7 +31,9 @@
         "firladder config apply changes.json --expected_revision=17",
     )
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Perform the action that the first argument names."""
         action, *rest = arguments or [""]
         if action == "show" and not rest:
@@ -41,14 +43,14 @@
             return self._apply(settings, rest[0], dry_run=dry)
         return write_failure(self.name, f"usage: {self.usage}", EXIT_USAGE)
 
-    def _show(self, settings: Mapping[str, Resolved]) -> int:
+    def _show(self, settings: Mapping[str, ResolvedSetting]) -> int:
         reply = call_gateway(settings, "GET", "/v1/config")
         return write_answer(
             self.name, settings, reply, format_configuration, read_only=True
         )
 
     def _apply(
-        self, settings: Mapping[str, Resolved], file: str, *, dry_run: bool
+        self, settings: Mapping[str, ResolvedSetting], file: str, *, dry_run: bool
     ) -> int:
         changes = read_changes(file)
         reply = call_gateway(settings, "GET", "/v1/config")
--- a/src/firladder/_internal/commands/daemons.py
+++ b/src/firladder/_internal/commands/daemons.py
@@ -11,11 +11,11 @@
 )
 from ..cli.exit_codes import EXIT_OK
 from ..utils.logs import configure_logs
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 from .registry import Command
 
 
-def run_daemon(role: str, settings: Mapping[str, Resolved]) -> int:
+def run_daemon(role: str, settings: Mapping[str, ResolvedSetting]) -> int:
     """Build the daemon and run it until it stops."""
     from ..network import run_reactor
 
@@ -26,7 +26,7 @@
     return EXIT_OK
 
 
-async def _serve(role: str, settings: Mapping[str, Resolved]) -> None:
+async def _serve(role: str, settings: Mapping[str, ResolvedSetting]) -> None:
     process: Any
     if role == "gateway":
         from ..gateway.daemon import Gateway
@@ -51,7 +51,9 @@
         "--store_url=http://10.1.0.2:2379",
     )
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Serve callers and operators until SIGTERM or SIGINT arrives."""
         return run_daemon("gateway", settings)
 
@@ -68,6 +70,8 @@
         "--store_url=http://10.1.0.2:2379",
     )
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Campaign for leadership and lead until SIGTERM or SIGINT arrives."""
         return run_daemon("scheduler", settings)
--- a/src/firladder/_internal/commands/evaluate.py
+++ b/src/firladder/_internal/commands/evaluate.py
@@ -8,7 +8,7 @@
 from ..evaluation.report import evaluate, format_table
 from ..exceptions import SettingError
 from ..policies.placement_catalogue import PLACEMENTS
-from ..utils.settings import Resolved, Setting, check_text
+from ..utils.settings import ResolvedSetting, Setting, check_text
 from .registry import Command
 
 DEFAULT_POLICIES = "first_fit,fcfs,easy_backfill,youngest_first,cells"
@@ -25,7 +25,9 @@
         Setting("racks", check_text, "racks in the failure domain: 1, 3 or 1,3", "1,3"),
     )
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Print a row for each load and policy."""
         wanted = settings["loads"].value
         loads = LOADS.list_names() if wanted == "all" else wanted.split(",")
--- a/src/firladder/_internal/commands/evaluate_days.py
+++ b/src/firladder/_internal/commands/evaluate_days.py
@@ -7,7 +7,7 @@
 from ..evaluation.day_loads import DAYS
 from ..evaluation.day_policies import PLANNERS
 from ..evaluation.day_report import format_head, format_row, play_days
-from ..utils.settings import Resolved, Setting, check_text
+from ..utils.settings import ResolvedSetting, Setting, check_text
 from .evaluate import check_names, read_numbers
 from .registry import Command
 
@@ -22,7 +22,9 @@
         Setting("day_seeds", check_text, "seeds, separated by commas", "1,2,3"),
     )
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Print a row for each day and planner, as soon as it is known."""
         days = _choose("days", settings["days"].value, DAYS.list_names())
         known = PLANNERS.list_names()
--- a/src/firladder/_internal/commands/evaluate_requests.py
+++ b/src/firladder/_internal/commands/evaluate_requests.py
@@ -6,7 +6,7 @@
 from ..cli.exit_codes import EXIT_OK
 from ..evaluation.request_report import POLICIES, print_requests_table
 from ..exceptions import SettingError
-from ..utils.settings import Resolved, Setting, check_text
+from ..utils.settings import ResolvedSetting, Setting, check_text
 from .registry import Command
 
 
@@ -18,7 +18,9 @@
         Setting("policies", check_text, "policies to compare", ",".join(POLICIES)),
     )
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Print a row for each load and set of policies."""
         policies = settings["policies"].value.split(",")
         if unknown := [p for p in policies if p not in POLICIES]:
--- a/src/firladder/_internal/commands/jobs.py
+++ b/src/firladder/_internal/commands/jobs.py
@@ -18,7 +18,7 @@
 )
 from ..cli.inputs import read_json
 from ..cli.output import format_rows, write_answer, write_failure, write_refusal
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 from .registry import Command
 
 POLL_INTERVAL_S = 1.0
@@ -40,7 +40,9 @@
         "firladder submit spec.json --wait",
     )
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Submit the job; repeating this with the same id is harmless."""
         spec = read_json(arguments[0]) if arguments else _build_spec(settings)
         if not spec.get("id") or not spec.get("organisation"):
@@ -58,7 +60,7 @@
         return code
 
 
-def _build_spec(settings: Mapping[str, Resolved]) -> dict[str, Any]:
+def _build_spec(settings: Mapping[str, ResolvedSetting]) -> dict[str, Any]:
     names = (
         "id",
         "organisation",
@@ -79,7 +81,9 @@
     settings = JOBS_SETTINGS
     examples = ("firladder jobs --state=running", "firladder jobs --format=json")
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Print the jobs in the store, one per line."""
         wanted = {n: settings[n].value for n in ("organisation", "state")}
         path = "/v1/jobs?" + urlencode({k: v for k, v in wanted.items() if v})
@@ -114,7 +118,9 @@
     settings = CLIENT_SETTINGS
     examples = ("firladder cancel season-7",)
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Request the cancellation, which the job's leader carries out."""
         if len(arguments) != 1:
             return write_failure(self.name, "name one job", EXIT_USAGE)
@@ -137,14 +143,16 @@
     settings = CLIENT_SETTINGS
     examples = ("firladder watch season-7",)
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Print each change of a job and return its outcome as exit code."""
         if len(arguments) != 1:
             return write_failure(self.name, "name one job", EXIT_USAGE)
         return watch_job(settings, arguments[0])
 
 
-def watch_job(settings: Mapping[str, Resolved], job_id: str) -> int:
+def watch_job(settings: Mapping[str, ResolvedSetting], job_id: str) -> int:
     """Print a job's changes until it ends; return its outcome as exit code."""
     last_line = ""
     silent_polls = 0
@@ -172,7 +180,9 @@
     raise AssertionError("unreachable")
 
 
-def _format_progress(settings: Mapping[str, Resolved], job: dict[str, Any]) -> str:
+def _format_progress(
+    settings: Mapping[str, ResolvedSetting], job: dict[str, Any]
+) -> str:
     if settings["format"].value == "json":
         return json.dumps(job) + "\n"
     parts = [job["spec"]["id"], job["state"], f"attempt {job['attempt']}"]
--- a/src/firladder/_internal/commands/measure.py
+++ b/src/firladder/_internal/commands/measure.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from ..cli.exit_codes import EXIT_OK
-from ..utils.settings import Resolved, Setting, check_optional
+from ..utils.settings import ResolvedSetting, Setting, check_optional
 from .registry import Command
 
 
@@ -24,7 +24,9 @@
         "firladder measure --keep --into=docs/slopes.json --page=docs/CAPACITY.md",
     )
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Measure and print the fits; write the points and the page if wanted."""
         from ..measure.pages import fill_capacity
         from ..measure.series import format_table, read_series, write_series
--- a/src/firladder/_internal/commands/model.py
+++ b/src/firladder/_internal/commands/model.py
@@ -7,7 +7,7 @@
 from ..exceptions import CheckerMissing
 from ..model import claims, configuration, gangs, leadership, runs  # noqa: F401
 from ..model.specification import SPECIFICATIONS, Verdict, check, find_by_guard
-from ..utils.settings import Resolved, Setting, check_optional
+from ..utils.settings import ResolvedSetting, Setting, check_optional
 from .registry import Command
 
 
@@ -20,7 +20,9 @@
         Setting("guards", check_optional, "'yes' lists the guards", ""),
     )
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Print each specification's states and depth, or a counterexample."""
         if settings["guards"].value:
             sys.stdout.write(format_guards())
--- a/src/firladder/_internal/commands/node.py
+++ b/src/firladder/_internal/commands/node.py
@@ -5,7 +5,7 @@
 from ..cli.daemon_settings import SHARED_SETTINGS
 from ..cli.exit_codes import EXIT_OK
 from ..utils.logs import configure_logs
-from ..utils.settings import Resolved, Setting, check_text
+from ..utils.settings import ResolvedSetting, Setting, check_text
 from .registry import Command
 
 NODE_SETTINGS = (
@@ -21,7 +21,9 @@
     settings = NODE_SETTINGS
     examples = ("firladder node --node_file=/etc/firladder/node.toml",)
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Serve until SIGTERM or SIGINT arrives."""
         from ..network import run_reactor
         from ..node.daemon import Node
--- a/src/firladder/_internal/commands/registry.py
+++ b/src/firladder/_internal/commands/registry.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping, Sequence
 from typing import ClassVar
 
-from ..utils.settings import CrossCheck, Resolved, Setting
+from ..utils.settings import CrossCheck, ResolvedSetting, Setting
 
 
 class Command(ABC):
@@ -21,7 +21,9 @@
     """Whether the command parses all its arguments itself, including flags."""
 
     @abstractmethod
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Run the command and return its exit code."""
 
 
--- a/src/firladder/_internal/commands/request.py
+++ b/src/firladder/_internal/commands/request.py
@@ -11,7 +11,7 @@
 from ..cli.inputs import read_json
 from ..cli.output import write_answer, write_failure, write_refusal
 from ..exceptions import NotSent, SentUnanswered
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 from .registry import Command
 
 REPLY_GRACE_S = 2.0
@@ -31,7 +31,9 @@
         "--organisation=kraftwerk --idempotent",
     )
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Send the request and return its outcome as exit code."""
         if not 1 <= len(arguments) <= 2:
             return write_failure(self.name, f"usage: {self.usage}", EXIT_USAGE)
@@ -47,7 +49,7 @@
 
     def _send(
         self,
-        settings: Mapping[str, Resolved],
+        settings: Mapping[str, ResolvedSetting],
         service: str,
         request_id: str,
         body: Any,
@@ -79,7 +81,9 @@
         return _write_result(settings, reply.body)
 
 
-def _write_result(settings: Mapping[str, Resolved], result: dict[str, Any]) -> int:
+def _write_result(
+    settings: Mapping[str, ResolvedSetting], result: dict[str, Any]
+) -> int:
     if settings["format"].value == "json":
         sys.stdout.write(json.dumps(result) + "\n")
     elif result["outcome"] == "done":
--- a/src/firladder/_internal/commands/settings.py
+++ b/src/firladder/_internal/commands/settings.py
@@ -6,7 +6,7 @@
 from ..cli.daemon_settings import GATEWAY_SETTINGS, SCHEDULER_SETTINGS
 from ..cli.exit_codes import EXIT_OK, EXIT_USAGE
 from ..cli.output import format_rows, write_failure
-from ..utils.settings import Resolved, Setting, read_settings
+from ..utils.settings import ResolvedSetting, Setting, read_settings
 from .registry import Command
 
 DAEMONS: Mapping[str, Sequence[Setting]] = {
@@ -26,7 +26,9 @@
     )
     takes_any_flag = True
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Print the settings that the daemon would have in this environment."""
         role, *flags = arguments or [""]
         if role not in DAEMONS:
--- a/src/firladder/_internal/commands/status.py
+++ b/src/firladder/_internal/commands/status.py
@@ -6,7 +6,7 @@
 from ..cli.calls import call_gateway
 from ..cli.client_settings import CLIENT_SETTINGS
 from ..cli.output import write_answer
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 from .registry import Command
 
 
@@ -17,7 +17,9 @@
     settings = CLIENT_SETTINGS
     examples = ("firladder status", "firladder status --format=json")
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Print the state of every failure domain."""
         reply = call_gateway(settings, "GET", "/v1/status")
         return write_answer(self.name, settings, reply, format_status, read_only=True)
--- a/src/firladder/_internal/commands/timeline.py
+++ b/src/firladder/_internal/commands/timeline.py
@@ -13,7 +13,7 @@
 from ..cli.exit_codes import EXIT_OK, EXIT_UNREACHABLE
 from ..exceptions import NotSent, SentUnanswered
 from ..utils.events import EventRecord, merge_events
-from ..utils.settings import Resolved, Setting, check_number, check_optional
+from ..utils.settings import ResolvedSetting, Setting, check_number, check_optional
 from .registry import Command
 from .timeline_sources import LiveSource, read_logs
 
@@ -52,7 +52,9 @@
         "firladder timeline --logs=gateway.log,scheduler.log --format=json",
     )
 
-    def run(self, settings: Mapping[str, Resolved], arguments: Sequence[str]) -> int:
+    def run(
+        self, settings: Mapping[str, ResolvedSetting], arguments: Sequence[str]
+    ) -> int:
         """Print the events of all reachable processes in causal order."""
         logs = [p for p in settings["logs"].value.split(",") if p]
         reply = call_json(settings["gateway"].value, "GET", "/v1/status")
@@ -74,7 +76,7 @@
 class EventPrinter:
     """Print each matching event once."""
 
-    def __init__(self, settings: Mapping[str, Resolved]) -> None:
+    def __init__(self, settings: Mapping[str, ResolvedSetting]) -> None:
         """Take the filters and the output format from the settings."""
         self._filters = {f: settings[f].value for f in FILTERS if settings[f].value}
         self._domain = settings["domain"].value
--- a/src/firladder/_internal/fleet/process.py
+++ b/src/firladder/_internal/fleet/process.py
@@ -21,7 +21,7 @@
 from ..utils.events import Event, Timeline
 from ..utils.identifiers import mint_incarnation
 from ..utils.lag import LoopLag
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 from ..utils.tasks import TaskSet
 from .configuration import PREFIX as CONFIGURATION_PREFIX
 from .configuration import ConfigurationHolder
@@ -40,7 +40,7 @@
 
     role: DaemonRole
 
-    def __init__(self, settings: Mapping[str, Resolved]) -> None:
+    def __init__(self, settings: Mapping[str, ResolvedSetting]) -> None:
         """Build all parts; nothing listens or connects yet."""
         self.settings = settings
         self.identity = Identity(
--- a/src/firladder/_internal/gateway/daemon.py
+++ b/src/firladder/_internal/gateway/daemon.py
@@ -16,7 +16,7 @@
 from ..network.http_server import HttpServer
 from ..policies.dispatching import find_policies
 from ..utils.events import Event
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 from .configuration import ConfigurationHandler
 from .dispatch import Dispatcher
 from .jobs import JobHandler
@@ -73,7 +73,7 @@
 
     role = "gateway"
 
-    def __init__(self, settings: Mapping[str, Resolved]) -> None:
+    def __init__(self, settings: Mapping[str, ResolvedSetting]) -> None:
         """Create all parts, without listening yet."""
         super().__init__(settings)
         self.metrics = GatewayMetrics()
--- a/src/firladder/_internal/scheduler/daemon.py
+++ b/src/firladder/_internal/scheduler/daemon.py
@@ -19,7 +19,7 @@
 from ..policies.placement import PlacementPolicy
 from ..policies.placement_catalogue import PLACEMENTS
 from ..utils.events import Event
-from ..utils.settings import Resolved
+from ..utils.settings import ResolvedSetting
 from ..utils.tasks import cancel_and_wait
 from .domain import DomainLeader
 from .gang_messages import GangTimes
@@ -55,7 +55,7 @@
 
     role = "scheduler"
 
-    def __init__(self, settings: Mapping[str, Resolved]) -> None:
+    def __init__(self, settings: Mapping[str, ResolvedSetting]) -> None:
         """Build all parts; ``begin`` starts listening."""
         super().__init__(settings)
         self.metrics = SchedulerMetrics()
--- a/src/firladder/_internal/utils/settings.py
+++ b/src/firladder/_internal/utils/settings.py
@@ -18,7 +18,7 @@
 
 Origin = Literal["default", "environment", "flag"]
 Check = Callable[[str], Any]
-CrossCheck = Callable[[Mapping[str, "Resolved"]], SettingError | None]
+CrossCheck = Callable[[Mapping[str, "ResolvedSetting"]], SettingError | None]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Resolved:
+class ResolvedSetting:
     """A checked value and where it came from."""
 
     value: Any
@@ -166,7 +166,7 @@
     arguments: Sequence[str],
     environment: Mapping[str, str] = os.environ,
     cross_checks: Sequence[CrossCheck] = (),
-) -> tuple[dict[str, Resolved], list[str]]:
+) -> tuple[dict[str, ResolvedSetting], list[str]]:
     """Return all settings and the remaining arguments, or raise ``SettingError``.
 
     A flag takes precedence over its variable, and the variable over the default.
@@ -191,7 +191,7 @@
     settings: Sequence[Setting],
     arguments: Sequence[str],
     environment: Mapping[str, str] = os.environ,
-) -> tuple[dict[str, Resolved], list[SettingError], list[str]]:
+) -> tuple[dict[str, ResolvedSetting], list[SettingError], list[str]]:
     """Return the valid settings, the errors and the remaining arguments."""
     table = flags.FlagValues()
     table.set_gnu_getopt(True)
@@ -202,7 +202,7 @@
         rest = table(["firladder", *arguments], known_only=True)[1:]
     except flags.Error as error:
         return {}, [SettingError(setting="command line", reason=str(error))], []
-    found: dict[str, Resolved] = {}
+    found: dict[str, ResolvedSetting] = {}
     unknown = [a for a in rest if len(a) > 1 and a[0] == "-"]
     problems = [_describe_unknown_flag(a, settings) for a in unknown]
     for setting in settings:
@@ -224,7 +224,7 @@
 
 def _resolve(
     setting: Setting, given: str | bool | None, environment: Mapping[str, str]
-) -> Resolved:
+) -> ResolvedSetting:
     origin: Origin = "flag"
     raw = str(given).lower() if isinstance(given, bool) else given
     if raw is None and setting.variable in environment:
@@ -234,7 +234,7 @@
     if raw is None:
         raise SettingError(setting=setting.label, reason=f"is required: {setting.help}")
     try:
-        return Resolved(setting.check(raw), origin, setting.secret)
+        return ResolvedSetting(setting.check(raw), origin, setting.secret)
     except ValueError as error:
         shown = "" if setting.secret else f"; got {raw!r}"
         raise SettingError(setting=setting.label, reason=f"{error}{shown}") from None
