--- a/features/path.feature
+++ b/features/path.feature
@@ -6,7 +6,7 @@
 
   Scenario: A coach's urgent request is answered by a target
     When the coach sends an urgent request at the first gateway
-    Then the answer is "done" with the coach's own body
+    Then the answer is "done" with the body of the coach's request
     And the request ran once on the targets
 
   Scenario: An overnight gang runs on the workers of one rack and finishes
@@ -20,4 +20,4 @@
     Then the job ends as "done"
     And status names a leader for every failure domain
     And the metrics of every gateway name the revision in force
-    And the time line tells of the job from its acceptance to its end
+    And the time line shows the job from its acceptance to its end
--- a/features/product_border.feature
+++ b/features/product_border.feature
@@ -1,37 +1,38 @@
 Feature: Slow and hostile peers cost bounded memory and stop nobody else
 
   Background:
-    Given a listener of 16 connections with 2 s of patience
+    Given a listener of 16 connections with a request timeout of 2 s
 
   Scenario: Senders that trickle their requests keep nobody out
-    A peer opens every connection there is and sends a header line now and then,
-    so that none is ever idle. Callers behind it wait until they give up.
-    When 16 peers trickle header lines into it
+    Peers take every connection and send a header line from time to time, so that
+    no connection is idle. Without a limit for the whole request, other callers
+    never get a connection.
+    When 16 peers slowly send it header lines
     Then a caller is answered within 1 s
-    And all trickling peers are cut off within 6 s
+    And the connections of all slow peers are closed within 6 s
 
   Scenario: A flood of silent connections keeps nobody out
-    A scanner, or a balancer gone wild, opens hundreds of connections and leaves
-    them. The process grows with each, or takes no more of anybody.
-    When 300 peers connect and say nothing
+    A port scanner or a faulty load balancer opens hundreds of connections and sends
+    nothing. The process must neither grow with them nor reject other callers.
+    When 300 peers connect and send nothing
     Then a caller is answered within 1 s
     And the listener holds at most 16 connections
     And its memory grew by less than 8 MB
 
   Scenario: Callers who are being served are never cut for newcomers
-    All places are taken by callers whose requests run. One more is told at once
-    that there is no room, by its connection's end, and room returns with them.
+    Every connection has a request that is being served. Another caller's connection
+    is closed at once, and new ones are accepted when the first callers disconnect.
     When 16 callers are being served
     Then one more caller is closed within 1 s
-    And no caller who is being served was cut
-    When the callers who were being served leave
+    And no caller who is being served was disconnected
+    When the callers who were being served disconnect
     Then a caller is answered within 2 s
 
   Scenario Outline: An oversized body is refused with its reason
-    A caller sends more than the listener takes. If the connection is reset while
-    it still sends, it sees a network fault and sends the same again and again.
+    A caller sends a larger body than the listener accepts. If the connection were
+    reset while it sends, it would see a network fault and keep retrying.
     When a caller sends a body of <size> bytes <how>
-    Then it reads a typed refusal of status 413
+    Then it reads a typed rejection with status 413
     And a caller is answered within 1 s
     And its memory grew by less than 8 MB
 
@@ -42,9 +43,10 @@
       | 20000000 | in chunks of no total |
 
   Scenario Outline: Malformed requests end their own connection alone
-    Whatever speaks another protocol, or none, reaches an HTTP port in the end.
+    Peers that send no valid HTTP reach the port. They must neither use up memory
+    nor disturb other callers.
     When a peer sends <what>
-    Then it is cut off within 20 s
+    Then its connection is closed within 20 s
     And a caller is answered within 1 s
     And its memory grew by less than 8 MB
 
--- a/features/product_cli.feature
+++ b/features/product_cli.feature
@@ -1,14 +1,14 @@
 Feature: The command line tells people and scripts the truth
 
   Scenario: The overview answers fast
-    Operators look commands up in the middle of an incident, on small and busy
-    VMs. When every command's libraries are loaded for it, the answer hangs.
-    When the overview of commands is asked for 7 times
-    Then the cheapest answer took under 0.2 s of processor time
+    Operators look up commands during an incident, on small and busy VMs. Importing
+    every command's libraries would make the overview slow.
+    When the overview of commands is printed 7 times
+    Then the cheapest run took under 0.2 s of processor time
 
   Scenario Outline: A mistyped name is met with the nearest one
-    A typing mistake that is passed over in silence runs the command with its
-    defaults, and the operator believes that the flag was obeyed.
+    If a mistyped flag were ignored, the command would run with its default and the
+    operator would believe that the flag took effect.
     When firladder runs with "<arguments>"
     Then it exits with 2 and says "<hint>"
 
@@ -20,15 +20,15 @@
       | request               | --organisation              |
 
   Scenario: Every wrong setting of a daemon is named at its start
-    An operator rolls out a new VM image with several settings wrong. If each
-    start names one of them only, the VM is down for as many rounds.
+    A new VM image has several invalid settings. If each start reported only one of
+    them, the VM would stay down for as many attempts.
     When firladder runs with "scheduler --vm=a --failure_domain=d --address=host:1 --http_address=127.0.0.1:2 --store_url=x --task_ttl_s=soon --operator_token=s3cret"
     Then it exits with 2 and names exactly "--address, --store_url, --task_ttl_s"
-    And the output does not hold "s3cret"
+    And the output does not contain "s3cret"
 
   Scenario Outline: Settings that contradict each other end the daemon
-    Each value is fine by itself, but together they break a promise: leases of
-    half-started gangs would outlive those of whole ones.
+    Each value is valid by itself, but together they break a guarantee. For example,
+    leases of partly started gangs must expire before those of running ones.
     When firladder runs with "scheduler --vm=a --failure_domain=d --address=127.0.0.1:1 --http_address=127.0.0.1:2 --store_url=http://127.0.0.1:3 <flags>"
     Then it exits with 2 and says "<hint>"
 
@@ -40,8 +40,8 @@
       | --placement=best                 | must be one of                  |
 
   Scenario Outline: A wrong variable ends the daemon as a wrong flag does
-    Settings of VM images are variables. One that is mistyped is passed over in
-    silence, and the daemon runs with a default that nobody chose.
+    VM images set variables. If a mistyped variable were ignored, the daemon would run
+    with a default that nobody chose.
     When firladder runs with "gateway --vm=a --failure_domain=d --address=127.0.0.1:1 --http_address=127.0.0.1:2 --store_url=http://127.0.0.1:3" and variables "<variables>"
     Then it exits with 2 and says "<hint>"
 
@@ -53,18 +53,18 @@
       | FIRLADDER_QUEUE_LIMIT=0       | must be a whole number from 1 to       |
 
   Scenario: Settings are printed with their origin, and secrets are not
-    Two operators argue about which value a daemon runs with: a flag, a variable
-    or the default. A token printed on the way would end up in a chat.
+    Operators need to know whether a daemon's value comes from a flag, a variable or
+    the default. Printed tokens would be copied into chats and tickets.
     When firladder runs with "settings gateway --vm=a --failure_domain=d --address=127.0.0.1:1 --http_address=127.0.0.1:2 --store_url=http://127.0.0.1:3" and variables "FIRLADDER_OPERATOR_TOKEN=s3cret FIRLADDER_DRAIN_S=7"
     Then it exits with 0 and says "(hidden)"
-    And a printed line holds "drain_s FIRLADDER_DRAIN_S 7.0 environment"
-    And a printed line holds "vm FIRLADDER_VM a flag"
-    And a printed line holds "unready_s FIRLADDER_UNREADY_S 2.0 default"
-    And the output does not hold "s3cret"
+    And a printed line reads "drain_s FIRLADDER_DRAIN_S 7.0 environment"
+    And a printed line reads "vm FIRLADDER_VM a flag"
+    And a printed line reads "unready_s FIRLADDER_UNREADY_S 2.0 default"
+    And the output does not contain "s3cret"
 
   Scenario Outline: The exit code of a request is its outcome
-    A script that delivers plans repeats what it takes for lost. Told "not run"
-    of a request that may have run, it sends two programmes to one lifter.
+    A script that delivers training plans retries what did not run. If the exit code
+    said "not run" for a request that may have run, one athlete could get two plans.
     Given a gateway that answers requests with "<answer>"
     When a request is sent to it from the command line
     Then it exits with <code> and says "<hint>"
@@ -79,14 +79,14 @@
       | nothing | 5    | refused         |
 
   Scenario: A reader that leaves early is no fault
-    "firladder completion bash | head -1" closes the pipe; a traceback in the
-    log of a cron job makes people look for a fault that is none.
-    When the output of "completion bash" is read by somebody who leaves at once
+    "firladder completion bash | head -1" closes the pipe early. A traceback in the
+    log of a cron job would look like a fault.
+    When the output of "completion bash" is closed by its reader at once
     Then nothing is written to standard error
 
   Scenario Outline: A configuration is checked without a fleet
-    A shape that does not fit is refused when it is applied, in the night of the
-    change; checked offline it is found the day before.
+    A shape that does not fit is otherwise rejected only when it is applied. Checked
+    offline, it is found before the maintenance window.
     When changes with a shape of <count> cells of <size> are checked against 2 workers of 8
     Then it exits with <code> and says "<hint>"
 
--- a/features/product_client.feature
+++ b/features/product_client.feature
@@ -1,13 +1,13 @@
 Feature: The library's client repeats only what may be repeated
 
   Scenario Outline: <title>
-    A coach's program calls through the library. If that repeats a seat check
-    whose answer was lost, one student holds two seats; if it does not repeat what
-    never left, the student loses a place for nothing.
+    If the client retried a booking whose answer was lost, one student could hold two
+    seats. If it did not retry a call that was never sent, the student would lose the
+    seat without need.
     Given gateways that answer "<first>" and "<second>"
     When the library sends a request that is <kind>
     Then its outcome is "<outcome>"
-    And the gateways saw it <seen> times under one id
+    And the gateways received it <seen> times under one id
 
     Examples:
       | title                              | first           | second | kind           | outcome | seen |
@@ -20,5 +20,5 @@
       | Failed work is not asked again     | failed          | done   | idempotent     | failed  | 1    |
 
   Scenario: Importing the library costs next to nothing
-    A program that only looks at the version loads an HTTP client for it.
-    Then importing the library loads no module of its insides
+    A program that only reads the version must not load an HTTP client.
+    Then importing the library loads no internal module
--- a/features/product_fabric.feature
+++ b/features/product_fabric.feature
@@ -1,21 +1,21 @@
 Feature: Strangers on the port between processes are not heard
 
   Scenario Outline: Only processes that know the fleet's secret are answered
-    A process of another fleet, or a stranger in the network, says that it leads,
-    or that a newer configuration exists, and is believed.
+    A process of another fleet, or an attacker, claims to be the leader or to have a
+    newer configuration. Without authentication, the receiver would accept that.
     Given a process with the fleet's secret
-    When a process with <secret> asks it something
+    When a process with <secret> sends it a question
     Then it <answer>
 
     Examples:
-      | secret         | answer                              |
-      | the same one   | is answered                         |
-      | another secret | gets no answer, and nobody heard it |
-      | no secret      | gets no answer, and nobody heard it |
+      | secret         | answer                                |
+      | the same one   | is answered                           |
+      | another secret | gets no answer, and no handler got it |
+      | no secret      | gets no answer, and no handler got it |
 
   Scenario Outline: Garbage costs bounded memory and stops nobody else
-    A port scanner, or a daemon of another version, sends what is no message. One
-    malformed message ends the loop that serves all peers, and the VM falls out.
+    A port scanner, or a daemon of another version, sends invalid messages. If one of
+    them ended the loop that serves all peers, the whole VM would be unavailable.
     Given a process without a secret
     When a stranger sends <what>
     Then a peer is still answered
--- a/features/product_fuzz.feature
+++ b/features/product_fuzz.feature
@@ -1,9 +1,9 @@
 Feature: Parsers at the border give a value or a typed failure, whatever comes
 
   Scenario Outline: <parser> never raises
-    A caller, an operator or another daemon sends what no test thought of. An
-    exception that nobody expects ends in a traceback instead of a reason, or in
-    the end of the task that serves everybody.
+    Callers, operators and other daemons send input that no other test covers. An
+    unexpected exception would give them no reason, or would end the task that serves
+    all of them.
     When <parser> reads <count> generated and altered inputs
     Then each gave a value or a typed failure
 
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -10,7 +10,7 @@
 
 
 class PathCheck:
-    """The main job, step by step, as callers see it."""
+    """The path of requests and gangs through a site, as callers see it."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
@@ -87,7 +87,7 @@
     context.path.send_urgent()
 
 
-@then('the answer is "{outcome}" with the coach\'s own body')
+@then('the answer is "{outcome}" with the body of the coach\'s request')
 def check_answer(context, outcome):
     path = context.path
     assert path.answer["outcome"] == outcome, path.answer
@@ -146,7 +146,7 @@
         assert "firladder_configuration_revision 1" in text, text
 
 
-@then("the time line tells of the job from its acceptance to its end")
+@then("the time line shows the job from its acceptance to its end")
 def check_timeline(context):
     command = [sys.executable, "-m", "firladder", "timeline"]
     command += [f"--gateway={context.site.gateway()}", f"--job={context.path.job}"]
--- a/features/steps/product_border_steps.py
+++ b/features/steps/product_border_steps.py
@@ -13,16 +13,16 @@
 from standins.site import ROOT, call, claim_ports, wait_for
 
 
-class Border:
-    """One listener under attack, and the peers that attack it."""
+class LimitedListener:
+    """A listener with low limits, and the peers that connect to it."""
 
-    def __init__(self, connections: int, patience_s: int) -> None:
+    def __init__(self, connections: int, timeout_s: int) -> None:
         self.lock, ports = claim_ports()
         self.address = f"127.0.0.1:{next(ports)}"
         command = [sys.executable, "-m", "features.support.listener"]
         command += [f"--address={self.address}", f"--connections={connections}"]
         self.process = subprocess.Popen(
-            [*command, f"--patience={patience_s}"],
+            [*command, f"--patience={timeout_s}"],
             cwd=ROOT,
             stderr=subprocess.DEVNULL,
         )
@@ -37,7 +37,7 @@
         self.peers.append(peer)
         return peer
 
-    def trickle(self, count: int) -> None:
+    def send_slowly(self, count: int) -> None:
         peers = [self.connect() for _ in range(count)]
         for peer in peers:
             peer.sendall(b"GET /places HTTP/1.1\r\n")
@@ -53,20 +53,20 @@
         threading.Thread(target=run, daemon=True).start()
 
     def send_all(self, peer: socket.socket, data: bytes) -> None:
-        # The listener may cut the peer off in the middle.
+        # The listener may close the connection before all is sent.
         try:
             peer.sendall(data)
         except OSError:
             return
 
-    def is_cut(self, peer: socket.socket) -> bool:
-        # Looked up without reading, which would let a stalled listener go on.
+    def is_disconnected(self, peer: socket.socket) -> bool:
+        # Polled without reading: that would let a blocked listener continue.
         poll = select.poll()
         poll.register(peer, select.POLLRDHUP)
         return bool(poll.poll(0))
 
     def is_refused(self) -> bool:
-        """Tell whether a newcomer is closed at once."""
+        """Return whether a new connection is closed at once."""
         peer = self.connect()
         peer.settimeout(1)
         try:
@@ -85,28 +85,30 @@
         self.lock.close()
 
 
-@given("a listener of {connections:d} connections with {patience:d} s of patience")
-def start_listener(context, connections, patience):
-    context.border = Border(connections, patience)
-    context.add_cleanup(context.border.stop)
+@given(
+    "a listener of {connections:d} connections with a request timeout of {timeout:d} s"
+)
+def start_listener(context, connections, timeout):
+    context.listener = LimitedListener(connections, timeout)
+    context.add_cleanup(context.listener.stop)
 
 
-@when("{count:d} peers trickle header lines into it")
-def trickle(context, count):
-    context.border.trickle(count)
+@when("{count:d} peers slowly send it header lines")
+def send_slowly(context, count):
+    context.listener.send_slowly(count)
 
 
-@when("{count:d} peers connect and say nothing")
+@when("{count:d} peers connect and send nothing")
 def connect_silently(context, count):
     for _ in range(count):
-        context.border.connect()
+        context.listener.connect()
 
 
 @then("a caller is answered within {limit:d} s")
 def check_caller(context, limit):
     started = time.monotonic()
     answer = wait_for(
-        lambda: call(context.border.address, "POST", "/echo", {}, timeout_s=limit),
+        lambda: call(context.listener.address, "POST", "/echo", {}, timeout_s=limit),
         limit,
         "an answer",
     )
@@ -114,54 +116,58 @@
     assert time.monotonic() - started < limit
 
 
-@then("all trickling peers are cut off within {limit:d} s")
-def check_tricklers(context, limit):
-    border = context.border
-    wait_for(lambda: all(map(border.is_cut, border.peers)), limit, "peers cut off")
+@then("the connections of all slow peers are closed within {limit:d} s")
+def check_slow_peers(context, limit):
+    listener = context.listener
+    wait_for(
+        lambda: all(map(listener.is_disconnected, listener.peers)),
+        limit,
+        "peers closed",
+    )
 
 
-@then("the listener holds at most {most:d} connections")
-def check_places(context, most):
-    _, answer = call(context.border.address, "GET", "/places")
-    assert answer["open"] <= most, answer
+@then("the listener holds at most {max_open:d} connections")
+def check_open_connections(context, max_open):
+    _, answer = call(context.listener.address, "GET", "/places")
+    assert answer["open"] <= max_open, answer
 
 
-@then("its memory grew by less than {most:d} MB")
-def check_memory(context, most):
-    border = context.border
-    grown = read_resident_mb(border.process.pid) - border.memory_mb
-    assert grown < most, grown
+@then("its memory grew by less than {max_mb:d} MB")
+def check_memory(context, max_mb):
+    listener = context.listener
+    grown = read_resident_mb(listener.process.pid) - listener.memory_mb
+    assert grown < max_mb, grown
 
 
 @when("{count:d} callers are being served")
-def hold_callers(context, count):
-    border = context.border
-    context.held = [border.connect() for _ in range(count)]
-    for peer in context.held:
+def serve_callers(context, count):
+    listener = context.listener
+    context.served = [listener.connect() for _ in range(count)]
+    for peer in context.served:
         peer.sendall(b"GET /hold HTTP/1.1\r\nHost: a\r\n\r\n")
-        # The first byte of its answer tells that the listener serves it.
+        # The first byte of the response shows that the listener serves the caller.
         assert peer.recv(1) == b"H"
 
 
 @then("one more caller is closed within {limit:d} s")
 def check_closed(context, limit):
-    wait_for(context.border.is_refused, limit, "closed")
+    wait_for(context.listener.is_refused, limit, "closed")
 
 
-@then("no caller who is being served was cut")
-def check_held(context):
-    assert not any(map(context.border.is_cut, context.held))
+@then("no caller who is being served was disconnected")
+def check_served(context):
+    assert not any(map(context.listener.is_disconnected, context.served))
 
 
-@when("the callers who were being served leave")
-def leave(context):
-    for peer in context.held:
+@when("the callers who were being served disconnect")
+def disconnect(context):
+    for peer in context.served:
         peer.close()
 
 
 @when("a caller sends a body of {size:d} bytes {how}")
 def send_body(context, size, how):
-    context.peer = peer = context.border.connect()
+    context.peer = peer = context.listener.connect()
     head = b"POST /echo HTTP/1.1\r\nHost: a\r\n"
     if how == "with its length":
         data = head + b"Content-Length: %d\r\n\r\n" % size + b"x" * size
@@ -172,8 +178,8 @@
     peer.sendall(data)
 
 
-@then("it reads a typed refusal of status {status:d}")
-def check_refusal(context, status):
+@then("it reads a typed rejection with status {status:d}")
+def check_rejection(context, status):
     raw = b""
     while part := context.peer.recv(65536):
         raw += part
@@ -193,15 +199,15 @@
 
 @when("a peer sends {what}")
 def send_garbage(context, what):
-    context.peer = context.border.connect()
-    context.border.send_all(context.peer, GARBAGE[what])
+    context.peer = context.listener.connect()
+    context.listener.send_all(context.peer, GARBAGE[what])
 
 
-@then("it is cut off within {limit:d} s")
-def check_cut(context, limit):
+@then("its connection is closed within {limit:d} s")
+def check_closed_peer(context, limit):
     def gone() -> bool:
-        # Asked of the listener: a peer that reads nothing has no room left to
-        # hear of a reset, either.
-        return call(context.border.address, "GET", "/places")[1] == {"open": 1}
+        # Asked of the listener, because a peer with a full receive buffer that
+        # reads nothing does not notice a reset either.
+        return call(context.listener.address, "GET", "/places")[1] == {"open": 1}
 
-    wait_for(gone, limit, "cut off")
+    wait_for(gone, limit, "closed")
--- a/features/steps/product_cli_steps.py
+++ b/features/steps/product_cli_steps.py
@@ -18,7 +18,7 @@
 
 
 class CommandRun:
-    """One run of the command line and all it wrote."""
+    """One run of the command line, with its exit code and output."""
 
     def __init__(self, arguments: list[str], variables: dict[str, str] | None = None):
         done = subprocess.run(
@@ -39,7 +39,7 @@
 
 
 class FakeGateway:
-    """Answers tickets, and requests as told; the last answer goes on for ever."""
+    """A gateway with the given answers to requests, of which the last one repeats."""
 
     RETRY = {"type": "queue_full", "reason": "full"}
 
@@ -94,7 +94,7 @@
     return used.ru_utime + used.ru_stime
 
 
-@when("the overview of commands is asked for {count:d} times")
+@when("the overview of commands is printed {count:d} times")
 def time_overview(context, count):
     context.spent = []
     for _ in range(count):
@@ -103,7 +103,7 @@
         context.spent.append(read_children_s() - started)
 
 
-@then("the cheapest answer took under {limit:f} s of processor time")
+@then("the cheapest run took under {limit:f} s of processor time")
 def check_overview(context, limit):
     assert min(context.spent) < limit, context.spent
 
@@ -131,12 +131,12 @@
     assert found == names.split(", "), context.run.output
 
 
-@then('the output does not hold "{text}"')
+@then('the output does not contain "{text}"')
 def check_absent(context, text):
     assert text not in context.run.output, context.run.output
 
 
-@then('a printed line holds "{words}"')
+@then('a printed line reads "{words}"')
 def check_line(context, words):
     lines = [line.split() for line in context.run.output.splitlines()]
     assert words.split() in lines, context.run.output
@@ -154,8 +154,8 @@
     context.run = CommandRun([*arguments, f"--gateway={context.fake.address}"])
 
 
-@when('the output of "{arguments}" is read by somebody who leaves at once')
-def read_and_leave(context, arguments):
+@when('the output of "{arguments}" is closed by its reader at once')
+def close_output(context, arguments):
     child = subprocess.Popen(
         [*COMMAND, *shlex.split(arguments)],
         cwd=ROOT,
--- a/features/steps/product_client_steps.py
+++ b/features/steps/product_client_steps.py
@@ -9,7 +9,7 @@
 
 @given('gateways that answer "{first}" and "{second}"')
 def start_gateways(context, first, second):
-    # A refusal that comes last asks to come back after the deadline.
+    # A final rejection has a retry time after the deadline.
     last = second == "not_run"
     context.fakes = [
         FakeGateway(*first.split(", "), retry_after_s=0.1),
@@ -32,14 +32,14 @@
     assert context.answer.outcome == outcome, context.answer
 
 
-@then("the gateways saw it {count:d} times under one id")
-def check_seen(context, count):
+@then("the gateways received it {count:d} times under one id")
+def check_received(context, count):
     seen = [req for fake in context.fakes for req in fake.seen]
     assert len(seen) == count, seen
     assert {req["id"] for req in seen} == {context.answer.id}, seen
 
 
-@then("importing the library loads no module of its insides")
+@then("importing the library loads no internal module")
 def check_import(context):
     code = "import sys, firladder; print([m for m in sys.modules if '_internal' in m])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
--- a/features/steps/product_docs_steps.py
+++ b/features/steps/product_docs_steps.py
@@ -17,7 +17,7 @@
 
 
 class PageCommands:
-    """The console lines of a page, and the files that they name."""
+    """The console commands of a page, and the files that they use."""
 
     def __init__(self, page: str) -> None:
         blocks = FENCED.findall((ROOT / "docs" / page).read_text())
@@ -47,8 +47,8 @@
         return line, done.returncode, done.stdout + done.stderr
 
 
-@given("a site as a new user has it after the first command")
-def start_for_user(context):
+@given("a site as the first command of the docs sets it up")
+def start_documented_site(context):
     site = start_site(context, Layout(domains=("bern-halle",), entry_vms=1))
     site.wait_leader("bern-halle")
 
--- a/features/steps/product_fabric_steps.py
+++ b/features/steps/product_fabric_steps.py
@@ -16,13 +16,13 @@
 
 
 class Exchange:
-    """Processes that talk, on an event loop of the scenario's own."""
+    """Processes that exchange messages on the scenario's own event loop."""
 
     def __init__(self, secret: str) -> None:
         self.loop = asyncio.new_event_loop()
         self.lock, self.ports = claim_ports()
         self.fabrics: list[Fabric] = []
-        self.heard = 0
+        self.handled = 0
         self.server = self.add(secret)
         self.server.handle(FetchDomain, self.answer)
         self.address = f"127.0.0.1:{self.port}"
@@ -31,7 +31,7 @@
         self.memory_mb = read_resident_mb(os.getpid())
 
     async def answer(self, body: FetchDomain) -> DomainReply:
-        self.heard += 1
+        self.handled += 1
         return DomainReply(
             failure_domain="d",
             epoch=1,
@@ -81,11 +81,11 @@
     context.add_cleanup(context.exchange.stop)
 
 
-@when("a process with {secret} asks it something")
+@when("a process with {secret} sends it a question")
 def ask_with(context, secret):
     secrets = {"the same one": SECRET, "another secret": "x" * 40, "no secret": ""}
     stranger = context.exchange.add(secrets[secret])
-    context.before = context.exchange.heard
+    context.handled_before = context.exchange.handled
     wait_s = 10.0 if secret == "the same one" else 1.5
     context.reply = context.exchange.ask(stranger, wait_s)
 
@@ -95,10 +95,10 @@
     assert isinstance(context.reply, DomainReply), context.reply
 
 
-@then("it gets no answer, and nobody heard it")
-def check_unheard(context):
+@then("it gets no answer, and no handler got it")
+def check_unhandled(context):
     assert isinstance(context.reply, PeerUnreachable), context.reply
-    assert context.exchange.heard == context.before
+    assert context.exchange.handled == context.handled_before
     assert isinstance(context.exchange.ask(context.exchange.peer), DomainReply)
 
 
@@ -118,7 +118,7 @@
     assert isinstance(reply, DomainReply), reply
 
 
-@then("the process grew by less than {most:d} MB")
-def check_growth(context, most):
+@then("the process grew by less than {max_mb:d} MB")
+def check_growth(context, max_mb):
     grown = read_resident_mb(os.getpid()) - context.exchange.memory_mb
-    assert grown < most, grown
+    assert grown < max_mb, grown
--- a/features/steps/product_fuzz_steps.py
+++ b/features/steps/product_fuzz_steps.py
@@ -19,7 +19,7 @@
 from firladder._internal.utils.codec import decode_json
 from firladder._internal.utils.settings import check_labels, read_settings
 
-SOUND = {
+VALID = {
     ServiceRequest: {"organisation": "squads", "deadline_ms": 5, "id": "a", "body": 1},
     JobSpec: {"id": "a", "organisation": "squads", "members": 2, "labels": {"a": "b"}},
     ChangeSet: {
@@ -31,7 +31,7 @@
 
 REFUSED = (Failure, SettingError, type(None))
 
-anything = st.recursive(
+any_value = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20),
     lambda inner: (
         st.lists(inner, max_size=4)
@@ -42,29 +42,29 @@
 
 
 def make_json(type_: type) -> st.SearchStrategy[bytes]:
-    """Return documents that are any, or sound but for one field."""
-    sound = SOUND[type_]
+    """Return arbitrary documents, and valid ones that are altered or cut short."""
+    valid = VALID[type_]
     altered = st.builds(
-        lambda key, value: json.dumps({**sound, key: value}).encode(),
-        st.sampled_from(sorted(sound)) | st.text(max_size=8),
-        anything,
+        lambda key, value: json.dumps({**valid, key: value}).encode(),
+        st.sampled_from(sorted(valid)) | st.text(max_size=8),
+        any_value,
     )
-    cut = st.integers(0, 200).map(lambda n: json.dumps(sound).encode()[:n])
-    documents = anything.map(lambda v: json.dumps(v).encode())
-    return altered | cut | documents | st.binary(max_size=60)
+    truncated = st.integers(0, 200).map(lambda n: json.dumps(valid).encode()[:n])
+    documents = any_value.map(lambda v: json.dumps(v).encode())
+    return altered | truncated | documents | st.binary(max_size=60)
 
 
 def make_messages() -> st.SearchStrategy[bytes]:
-    """Return messages that are any, or sound but for one byte."""
-    sound = msgspec.msgpack.encode(
+    """Return arbitrary messages, and valid ones with one byte changed."""
+    valid = msgspec.msgpack.encode(
         Envelope(sender="a", clock=1, correlation="b", body=FetchDomain())
     )
     altered = st.builds(
-        lambda at, byte: sound[:at] + bytes([byte]) + sound[at + 1 :],
-        st.integers(0, len(sound)),
+        lambda at, byte: valid[:at] + bytes([byte]) + valid[at + 1 :],
+        st.integers(0, len(valid)),
         st.integers(0, 255),
     )
-    documents = anything.map(
+    documents = any_value.map(
         lambda v: (
             msgspec.msgpack.encode(json.loads(json.dumps(v, default=str)))
             if _is_small(v)
@@ -83,14 +83,14 @@
 
 
 class Fuzz:
-    """One parser, the inputs made for it, and what it may answer."""
+    """A parser with its generated inputs and its permitted results."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.inputs = 0
         self.accepted = 0
 
-    def find(self):
+    def choose(self):
         bodies = {
             "the body of a request": ServiceRequest,
             "the body of a job": JobSpec,
@@ -116,7 +116,7 @@
         return text, _read_labels, (dict, SettingError)
 
     def run(self, count: int) -> None:
-        strategy, parse, good = self.find()
+        strategy, parse, expected = self.choose()
 
         @seed(20)
         @settings(
@@ -128,11 +128,14 @@
         @given(strategy)
         def check(value) -> None:
             self.inputs += 1
-            found = parse(value)
+            result = parse(value)
             assert isinstance(
-                found, good | Failure if isinstance(good, type) else (*good, Failure)
-            ), (value, found)
-            self.accepted += not isinstance(found, REFUSED)
+                result,
+                expected | Failure
+                if isinstance(expected, type)
+                else (*expected, Failure),
+            ), (value, result)
+            self.accepted += not isinstance(result, REFUSED)
 
         check()
 
@@ -154,6 +157,6 @@
 def report_fuzz(context):
     fuzz = context.fuzz
     line = f"fuzz: {fuzz.name}: {fuzz.inputs} inputs, {fuzz.accepted} accepted\n"
-    # Past the capture of behave, so that each run shows what it tried.
+    # Bypasses behave's capture, so that each run shows its counts.
     sys.__stdout__.write(line)
     assert fuzz.inputs > 0
--- a/features/steps/product_operations_steps.py
+++ b/features/steps/product_operations_steps.py
@@ -15,7 +15,7 @@
 
 
 class Operator:
-    """Somebody with the token, at one gateway."""
+    """An operator with the token, who uses one gateway."""
 
     def __init__(self, site) -> None:
         self.gateway = site.gateway()
@@ -64,13 +64,13 @@
     context.answers = [context.operator.read(None), context.operator.change(None)]
 
 
-@then('both are refused as "{kind}"')
+@then('both are rejected as "{kind}"')
 def check_both(context, kind):
     for status, answer in context.answers:
         assert (status, answer["type"]) == (401, kind), answer
 
 
-@then('a wrong token of the same length is refused as "{kind}"')
+@then('a wrong token of the same length is rejected as "{kind}"')
 def check_wrong(context, kind):
     status, answer = context.operator.change("x" * len(TOKEN))
     assert (status, answer["type"]) == (401, kind), answer
@@ -82,7 +82,7 @@
     run.check(0, "accepted as revision 1")
 
 
-@when("a request is answered and one for an unknown service is refused")
+@when("a request is answered and one for an unknown service is rejected")
 def ask_both(context):
     body = {"organisation": "squads", "deadline_ms": 3000, "idempotent": True}
     path = "/v1/services/{}/requests"
@@ -99,7 +99,7 @@
 
 @then("the gateway's metrics count one of each, and both in the histogram")
 def check_counts(context):
-    text = context.text_of_metrics = call(context.site.gateway(), "GET", "/metrics")[1]
+    text = context.metrics = call(context.site.gateway(), "GET", "/metrics")[1]
     ended = 'firladder_requests_ended_total{failure="%s",outcome="%s"}'
     assert ended % ("", "done") + " 1" in text, text
     assert ended % ("no_target", "not_run") in text, text
@@ -114,14 +114,14 @@
         "firladder_loop_lag_seconds ",
         "firladder_configuration_age_seconds ",
     ):
-        assert part in context.text_of_metrics, context.text_of_metrics
+        assert part in context.metrics, context.metrics
 
 
-@when("the gateway is told to stop while it is looked at every 20 ms")
-def stop_and_look(context):
+@when("the gateway is told to stop while it is polled every 20 ms")
+def stop_and_poll(context):
     site = context.site
     wait_for(lambda: call(site.gateway(), "GET", "/health/live")[0] == 200)
-    context.looks = []
+    context.polls = []
     site.child(site.list_gateways()[0]).signal(signal.SIGTERM)
     for _ in range(500):
         try:
@@ -129,39 +129,39 @@
             live, _ = call(site.gateway(), "GET", "/health/live", timeout_s=5)
         except (OSError, http.client.HTTPException):
             return
-        context.looks.append((time.monotonic(), ready, live))
+        context.polls.append((time.monotonic(), ready, live))
         time.sleep(0.02)
     raise AssertionError("the listener never closed")
 
 
-@then('it said "not ready" for at least {least:f} s before its listener closed')
-def check_unready(context, least):
-    unready = [at for at, ready, _ in context.looks if ready == 503]
-    assert unready, context.looks
-    assert unready[-1] - unready[0] >= least, context.looks
+@then('it reported "not ready" for at least {min_s:f} s before its listener closed')
+def check_unready(context, min_s):
+    unready = [at for at, ready, _ in context.polls if ready == 503]
+    assert unready, context.polls
+    assert unready[-1] - unready[0] >= min_s, context.polls
 
 
 @then("it was live until then")
 def check_live(context):
-    assert {live for _, _, live in context.looks} == {200}, context.looks
+    assert {live for _, _, live in context.polls} == {200}, context.polls
 
 
-@when("a change is compared, tried and applied from the command line")
+@when("a change is compared, applied as a dry run and applied from the command line")
 def compare_and_apply(context):
     changes = [{**ORGANISATION, "value": {"weight": 3}}]
     operator = context.operator
     context.diff = operator.run_changes(["diff"], changes)
-    context.trial = operator.run_changes(["apply", "--dry_run"], changes)
-    context.between = operator.read()[1]["revision"]
+    context.dry_run = operator.run_changes(["apply", "--dry_run"], changes)
+    context.revision_before = operator.read()[1]["revision"]
     context.applied = operator.run_changes(["apply"], changes)
 
 
-@then("the comparison and the trial changed nothing, and said what would change")
-def check_trial(context):
-    for run in (context.diff, context.trial):
+@then("comparison and dry run changed nothing, and showed what would change")
+def check_dry_run(context):
+    for run in (context.diff, context.dry_run):
         run.check(0, "~ organisation squads")
         run.check(0, "would be accepted on top of revision 1")
-    assert context.between == 1, context.between
+    assert context.revision_before == 1, context.revision_before
 
 
 @then("the change was applied")
@@ -170,7 +170,7 @@
     assert context.operator.read()[1]["organisations"]["squads"]["weight"] == 3
 
 
-@then("a shape that cannot fit is refused in a trial with exit code 3")
+@then("a shape that cannot fit is rejected in a dry run with exit code 3")
 def check_unfit(context):
     cell = {"failure_domain": "bern-halle", "accelerators": 8, "count": 9}
     change = {**ORGANISATION, "value": {"shape": [cell]}}
@@ -186,7 +186,7 @@
     run("submit", "--organisation=squads", "--id=block-2").check(0, "accepted for")
     run("jobs").check(0, "block-2")
     run("cancel", "block-2").check(0, "will be cancelled")
-    # Watching tells of a job that was cancelled before or while it ran.
+    # The exit code depends on whether the job was cancelled before or while it ran.
     ended = run("watch", "block-2")
     assert ended.code in (1, 3), ended.output
     run("watch", "nobody").check(3, "not_found")
--- a/features/steps/product_pages_steps.py
+++ b/features/steps/product_pages_steps.py
@@ -15,7 +15,7 @@
 
 
 class PageCheck:
-    """A page's rows against what the code has."""
+    """A comparison of a page's rows with the code."""
 
     def __init__(self, page: str, cells: int, first: str) -> None:
         rows = [r for r in read_rows(page) if re.match(first, r[0])]
@@ -43,14 +43,14 @@
     PageCheck("settings.md", 4, "--[a-z]").check(list_settings())
 
 
-@then("the capacity page is what its points work out to")
+@then("the capacity page is what is calculated from its points")
 def check_capacity(context):
     text = (ROOT / "docs" / "CAPACITY.md").read_text()
     series = read_series(ROOT / "docs" / "slopes.json")
     assert fill_capacity(text, series) == text, "run firladder measure --keep"
 
 
-@then("a line through {count:d} points is refused")
+@then("a line through {count:d} points is rejected")
 def check_few(context, count):
     try:
         fit_line([(x, x) for x in range(count)])
--- a/features/steps/timeline_steps.py
+++ b/features/steps/timeline_steps.py
@@ -14,14 +14,14 @@
 
 
 class TimelineCheck:
-    """A site's work, and its time line as the command prints it."""
+    """A site, its jobs and its time line as the command prints it."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
         self.jobs: list[str] = []
 
-    def keep_busy(self, gateway: str) -> None:
-        """Let a gateway's clock run ahead of all others, by its own events."""
+    def advance_clock(self, gateway: str) -> None:
+        """Advance a gateway's Lamport clock ahead of all others."""
         body = {"organisation": "squads", "deadline_ms": 3000, "idempotent": True}
         for _ in range(20):
             call(gateway, "POST", "/v1/services/planwerk/requests", body)
@@ -60,7 +60,7 @@
         while True:
             try:
                 text += (data := os.read(leader, 65536))
-            except OSError:  # how a terminal tells that its writer has gone
+            except OSError:  # raised when the writer has closed the terminal
                 break
             if not data:
                 break
@@ -69,8 +69,8 @@
         return text.decode().splitlines()
 
 
-@given("a site whose time line is quiet")
-def start_quiet(context):
+@given("a site without work in progress")
+def start_idle_site(context):
     context.timeline = TimelineCheck(start_site(context, Layout(**LAYOUT)))
     site = context.site
     site.wait_in_force(site.configure(add("squads")))
@@ -87,7 +87,7 @@
     gateways = itertools.cycle(map(site.gateway, site.layout.domains))
     for number in range(max(jobs, changes)):
         gateway = next(gateways)
-        context.timeline.keep_busy(gateway)
+        context.timeline.advance_clock(gateway)
         if number < jobs:
             context.timeline.accept_job(gateway)
         if number < changes:
@@ -106,11 +106,11 @@
 
     events = wait_for(find, what="all ends on the time line")
     for job in context.timeline.jobs:
-        mine = [e["message"] for e in events if e["details"].get("job") == job]
-        assert [m for m in mine if m in wanted] == wanted, (job, mine)
+        job_messages = [e["message"] for e in events if e["details"].get("job") == job]
+        assert [m for m in job_messages if m in wanted] == wanted, (job, job_messages)
 
 
-@then("every revision is accepted before anybody adopts it")
+@then("every revision is accepted before any process adopts it")
 def check_revisions(context):
     accepted: set[int] = set()
     seen = 0
@@ -132,12 +132,12 @@
     context.dead = name
 
 
-@then("its events come from its log and nobody's come twice")
+@then("its events come from its log and no event comes twice")
 def check_logs(context):
     log = context.site.child(context.dead).log
     events = context.timeline.read(f"--logs={log}")
-    mine = [e for e in events if e["process"] == context.dead]
-    keys = [(e["clock"], e["number"], e["wall"]) for e in mine]
+    from_log = [e for e in events if e["process"] == context.dead]
+    keys = [(e["clock"], e["number"], e["wall"]) for e in from_log]
     before = {(e["clock"], e["number"], e["wall"]) for e in context.before}
     assert before and before <= set(keys), (before, keys)
     everyone = [(e["process"], e["clock"], e["wall"]) for e in events]
@@ -145,7 +145,7 @@
     assert [e["clock"] for e in events] == sorted(e["clock"] for e in events)
 
 
-@then("the time line of a worker has the gangs that lay on it and no others")
+@then("the time line of a worker has the gangs that ran on it and no others")
 def check_worker(context):
     gangs = [e for e in context.timeline.read() if e["message"] == "gang reserved"]
     worker = gangs[0]["details"]["workers"][0]
@@ -185,13 +185,13 @@
     timeline.accept_job(context.site.gateway(context.site.layout.domains[0]))
     wait_for(lambda: find(timeline.jobs[-1]), what="the new event")
     timeline.wait_ends()
-    # The end of a later round of questions shows that nothing comes twice.
+    # The job's end comes with a later poll, so that repeated events would show.
     last = f'"{timeline.jobs[-1]}"'
     ends = lambda: [  # noqa: E731
         x for x in log.read_text().splitlines() if "job ended" in x and last in x
     ]
     wait_for(ends, what="the end of the new job")
-    # Not SIGINT: it is ignored from birth by what a background job starts.
+    # Not SIGINT, which a child of a shell's background job may ignore.
     child.terminate()
     child.wait(10)
     assert len(find(timeline.jobs[0])) == len(find(timeline.jobs[-1])) == 1
@@ -207,7 +207,7 @@
 def check_catalogue(context):
     numbers = [event.number for event in Event]
     messages = [event.message for event in Event]
-    # Aliases of one value vanish from iteration, but not from the members.
+    # Iteration skips members with the same value; __members__ includes them.
     assert len(numbers) == len(Event.__members__) == len(set(numbers))
     assert len(set(messages)) == len(messages), messages
     assert all(100 <= number < 600 for number in numbers), numbers
