--- a/src/firladder/_internal/network/http_limits.py
+++ b/src/firladder/_internal/network/http_limits.py
@@ -95,13 +95,13 @@
 class LimitedRequest(Request):
     """A request that refuses an oversized body before it is read."""
 
-    max_body: ClassVar[int] = MAX_BODY
+    max_body_bytes: ClassVar[int] = MAX_BODY
     _received = 0
     _refused = False
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
         """Refuse an announced length above the limit."""
-        if length is not None and length > self.max_body:
+        if length is not None and length > self.max_body_bytes:
             self._refuse()
             length = 0
         super().gotLength(length)
@@ -109,7 +109,7 @@
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
         """Keep a part of the body, unless there is too much of it."""
         self._received += len(data)
-        if self._received > self.max_body:
+        if self._received > self.max_body_bytes:
             self._refuse()
         if not self._refused:
             super().handleContentChunk(data)
@@ -124,7 +124,7 @@
             return
         self._refused = True
         body = encode_json(
-            BodyTooLarge(reason=f"at most {self.max_body} bytes", field="body")
+            BodyTooLarge(reason=f"at most {self.max_body_bytes} bytes", field="body")
         )
         transport = self.channel.transport
         transport.write(
@@ -164,7 +164,9 @@
         read_clock: Callable[[], float],
     ) -> None:
         """Serve ``resource`` within the limits given."""
-        limited = type("LimitedRequest", (LimitedRequest,), {"max_body": max_body})
+        limited = type(
+            "LimitedRequest", (LimitedRequest,), {"max_body_bytes": max_body}
+        )
         super().__init__(resource, requestFactory=limited, timeout=patience_s)
         self.places = Places(most=max_connections, patience_s=patience_s)
         self._read_clock = read_clock
