--- a/features/steps/network_answers_steps.py
+++ b/features/steps/network_answers_steps.py
@@ -12,7 +12,7 @@
     SentUnanswered,
     StoreUncertain,
 )
-from firladder._internal.network.http_client import HttpAnswer, HttpClient
+from firladder._internal.network.http_client import HttpClient, HttpResponse
 from firladder._internal.network.http_server import (
     HttpServer,
     RouteTable,
@@ -92,7 +92,7 @@
     kinds = {
         "sent_unanswered": SentUnanswered,
         "too_large": AnswerTooLarge,
-        "answered": HttpAnswer,
+        "answered": HttpResponse,
         "not_sent": NotSent,
     }
     assert isinstance(context.result, kinds[kind]), context.result
@@ -116,7 +116,7 @@
 @when("it is called for at most {most:d} bytes")
 def call_server_for_little(context, most):
     context.http = HttpClient()
-    call_with(context, timeout_s=2.0, most_bytes=most)
+    call_with(context, timeout_s=2.0, max_bytes=most)
 
 
 @given(
@@ -192,7 +192,7 @@
     play(context, context.server.start())
     context.store = PlatformStore(
         address=f"127.0.0.1:{context.server.port}",
-        http=HttpClient(per_host=16),
+        http=HttpClient(max_idle_per_host=16),
         clock=SystemClock(),
     )
 
--- a/features/support/fake_workers.py
+++ b/features/support/fake_workers.py
@@ -56,7 +56,7 @@
         self._note("stop", order)
         return await self._carry_out("stop", order, timeout_s)
 
-    async def look(self, worker_id, address, *, wait_s, timeout_s, **fields):
+    async def poll(self, worker_id, address, *, wait_s, timeout_s, **fields):
         self.sent.append(Sent(self._now(), "look"))
         if worker_id in self.refusing:
             await asyncio.sleep(timeout_s)
--- a/features/support/golden_parts.py
+++ b/features/support/golden_parts.py
@@ -13,7 +13,7 @@
 from features.support.protocol import FakeClock, FakeStore
 from firladder._internal.charts.interpreter import load_chart
 from firladder._internal.etcd.inventory import Inventory
-from firladder._internal.etcd.targets import TargetAnswer
+from firladder._internal.etcd.targets import TargetResponse
 from firladder._internal.exceptions import PeerUnreachable, StoreUnavailable
 from firladder._internal.fleet.configuration import PREFIX as CONFIGURATION_PREFIX
 from firladder._internal.fleet.configuration import ConfigurationHolder
@@ -126,11 +126,11 @@
     def __init__(self, recorder: Recorder, name: str) -> None:
         self.recorder, self.name = recorder, name
 
-    async def run(self, address: str, service: str, **call: Any) -> TargetAnswer:
+    async def run(self, address: str, service: str, **call: Any) -> TargetResponse:
         text = f"POST /{service} x-request-id={call['request_id']} "
         self.recorder.write(self.name, address, text + call["body"].decode())
         await asyncio.sleep(0)
-        answer = TargetAnswer(200, b'{"plan":' + call["body"] + b"}")
+        answer = TargetResponse(200, b'{"plan":' + call["body"] + b"}")
         self.recorder.write(address, self.name, f"200 {answer.body.decode()}")
         return answer
 
--- a/features/support/listener.py
+++ b/features/support/listener.py
@@ -30,7 +30,7 @@
 
 @routes.route("GET", "/places")
 async def count(server, call: HttpCall) -> HttpReply:
-    return reply_json({"open": server["http"].places.count()})
+    return reply_json({"open": server["http"].connection_tracker.count()})
 
 
 async def main(options: argparse.Namespace) -> None:
@@ -38,9 +38,9 @@
     app["http"] = HttpServer(
         app,
         routes,
-        max_body=options.body,
+        max_body_bytes=options.body,
         max_connections=options.connections,
-        patience_s=options.patience,
+        request_timeout_s=options.patience,
     )
     app["http"].listen(options.address)
 
--- a/src/firladder/_internal/etcd/store.py
+++ b/src/firladder/_internal/etcd/store.py
@@ -23,7 +23,7 @@
     Put,
     Snapshot,
 )
-from ..network.http_client import HttpAnswer, HttpClient
+from ..network.http_client import HttpClient, HttpResponse
 from ..utils.codec import encode_json
 
 CALL_TIMEOUT_S = 2.0
@@ -146,7 +146,7 @@
         *,
         timeout_s: float = CALL_TIMEOUT_S,
         stall_s: float | None = None,
-    ) -> HttpAnswer | Lost:
+    ) -> HttpResponse | Lost:
         self.calls += 1
         answer = await self._http.call(
             "POST",
@@ -155,11 +155,11 @@
             timeout_s=timeout_s,
             stall_s=stall_s,
         )
-        if isinstance(answer, HttpAnswer) and answer.status == 200:
+        if isinstance(answer, HttpResponse) and answer.status == 200:
             self.reachable = True
             return answer
         self.reachable = False
-        if isinstance(answer, HttpAnswer):
+        if isinstance(answer, HttpResponse):
             if answer.status == 503:
                 return StoreUnavailable(reason="the store refuses calls")
             return StoreUncertain(reason=f"the store answered {answer.status}")
@@ -182,7 +182,7 @@
 
     async def _range(self, body: dict[str, Any]) -> Snapshot | Lost:
         answer = await self._call("/v3/kv/range", body, stall_s=STALL_S)
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         parsed = msgspec.json.decode(answer.body, type=RangeAnswer)
         return Snapshot(
@@ -210,7 +210,7 @@
             "success": [_encode_change(change) for change in changes],
         }
         answer = await self._call("/v3/kv/txn", body, timeout_s=timeout_s)
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         parsed = msgspec.json.decode(answer.body, type=TxnAnswer)
         if not parsed.succeeded:
@@ -224,7 +224,7 @@
         answer = await self._call(
             "/v3/lease/grant", {"TTL": str(ttl_s)}, timeout_s=timeout_s
         )
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         parsed = msgspec.json.decode(answer.body, type=LeaseAnswer)
         return Lease(int(parsed.ID), float(parsed.TTL))
@@ -236,7 +236,7 @@
         answer = await self._call(
             "/v3/lease/keepalive", {"ID": str(lease.id)}, timeout_s=timeout_s
         )
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         ttl_s = float(msgspec.json.decode(answer.body, type=KeepAliveAnswer).result.TTL)
         if ttl_s <= 0:
@@ -246,7 +246,7 @@
     async def revoke_lease(self, lease: Lease) -> Lost | None:
         """Give a lease up, with all keys bound to it."""
         answer = await self._call("/v3/lease/revoke", {"ID": str(lease.id)})
-        return None if isinstance(answer, HttpAnswer) else answer
+        return None if isinstance(answer, HttpResponse) else answer
 
     async def watch(
         self, prefix: str, *, after: int
--- a/src/firladder/_internal/etcd/targets.py
+++ b/src/firladder/_internal/etcd/targets.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from ..exceptions import NotSent, SentUnanswered
-from ..network.http_client import HttpAnswer, HttpClient
+from ..network.http_client import HttpClient, HttpResponse
 
 REQUEST_ID_HEADER = "x-request-id"
 
@@ -16,7 +16,7 @@
     state: str = "live"
 
 
-class TargetAnswer(msgspec.Struct, frozen=True):
+class TargetResponse(msgspec.Struct, frozen=True):
     """A whole answer that belongs to the request it was given for."""
 
     status: int
@@ -28,7 +28,7 @@
 
     def __init__(self, *, source_ip: str) -> None:
         """Keep one pool for requests that may be repeated, none for others."""
-        self._pooled = HttpClient(per_host=8, source_ip=source_ip)
+        self._pooled = HttpClient(max_idle_per_host=8, source_ip=source_ip)
         # A target may close an idle connection in the very moment a request
         # goes out on it. The caller of a request that must not run twice would
         # then get "unknown" for nothing; a fresh connection costs one round
@@ -44,7 +44,7 @@
         body: bytes,
         idempotent: bool,
         timeout_s: float,
-    ) -> TargetAnswer | NotSent | SentUnanswered:
+    ) -> TargetResponse | NotSent | SentUnanswered:
         """Send a request and return its own whole answer, or how far it came."""
         http = self._pooled if idempotent else self._fresh
         answer = await http.call(
@@ -54,7 +54,7 @@
             headers={REQUEST_ID_HEADER: request_id},
             timeout_s=timeout_s,
         )
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         if answer.headers.get(REQUEST_ID_HEADER) != request_id:
             # A target that mixes its answers up would show one athlete's plan
@@ -62,14 +62,14 @@
             return SentUnanswered(reason="the answer belongs to another request")
         if answer.status == 503 and answer.headers.get("x-not-run") == "1":
             return NotSent(reason="the target refused the request")
-        return TargetAnswer(answer.status, answer.body)
+        return TargetResponse(answer.status, answer.body)
 
     async def check(self, address: str) -> TargetHealth | NotSent | SentUnanswered:
         """Ask a target whether it is leaving."""
         answer = await self._pooled.call(
             "GET", f"http://{address}/health", timeout_s=HEALTH_TIMEOUT_S
         )
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         try:
             return msgspec.json.decode(answer.body, type=TargetHealth)
--- a/src/firladder/_internal/etcd/workers.py
+++ b/src/firladder/_internal/etcd/workers.py
@@ -14,7 +14,7 @@
     TaskReport,
     TaskStatus,
 )
-from ..network.http_client import HttpAnswer, HttpClient
+from ..network.http_client import HttpClient, HttpResponse
 from ..utils.codec import encode_json
 
 T = TypeVar("T")
@@ -91,8 +91,8 @@
         return _read(answer, type_)
 
 
-def _read(answer: HttpAnswer | object, type_: type[T]) -> T | WorkerFailure:
-    if not isinstance(answer, HttpAnswer):
+def _read(answer: HttpResponse | object, type_: type[T]) -> T | WorkerFailure:
+    if not isinstance(answer, HttpResponse):
         sent = not isinstance(answer, NotSent)
         reason = getattr(answer, "reason", "")
         return WorkerUnreachable(reason=reason, field="sent" if sent else None)
--- a/src/firladder/_internal/fleet/metrics.py
+++ b/src/firladder/_internal/fleet/metrics.py
@@ -85,8 +85,8 @@
         self.received.set({}, process.fabric.received_bytes)
         self.malformed.set({}, process.fabric.malformed)
         self.loop_lag.set({}, process.loop_lag.read())
-        self.connections.set({}, http.places.count())
-        self.dropped.set({}, http.places.dropped)
+        self.connections.set({}, http.connection_tracker.count())
+        self.dropped.set({}, http.connection_tracker.dropped)
         totals: Count[tuple[int, str]] = Count()
         for (event, _), count in process.timeline.counts.items():
             totals[event.number, event.message] += count
--- a/src/firladder/_internal/gateway/dispatch.py
+++ b/src/firladder/_internal/gateway/dispatch.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..etcd.targets import TargetAnswer
+from ..etcd.targets import TargetResponse
 from ..exceptions import (
     DeadlineUnreachable,
     Draining,
@@ -141,11 +141,11 @@
         self,
         pending: PendingRequest,
         target: str,
-        answer: TargetAnswer | NotSent | SentUnanswered,
+        answer: TargetResponse | NotSent | SentUnanswered,
         sent_at: float,
     ) -> None:
         now = self._clock.read_monotonic()
-        if isinstance(answer, TargetAnswer):
+        if isinstance(answer, TargetResponse):
             self._record_answer(target, answer, now - sent_at, now)
             event = "answer" if answer.status < 400 else "fail"
             self._end(pending, event, target=target, body=answer.body)
@@ -171,7 +171,7 @@
         self._end(pending, "refuse", target=target, failure=failure)
 
     def _record_answer(
-        self, target: str, answer: TargetAnswer, latency_s: float, now: float
+        self, target: str, answer: TargetResponse, latency_s: float, now: float
     ) -> None:
         if answer.status >= 500:
             # A target that fails every request answers fastest, and would
--- a/src/firladder/_internal/network/http_client.py
+++ b/src/firladder/_internal/network/http_client.py
@@ -27,11 +27,11 @@
 CONNECT_TIMEOUT_S = 1.0
 """Seconds for a TCP connection; hosts are a millisecond apart."""
 
-MAX_RESPONSE = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 """Bytes of an answer; the store holds values of at most one megabyte."""
 
 MOST_BODY_S = 20.0
-"""Seconds for a body that keeps arriving: ``MAX_RESPONSE`` over a link of 2 Mbit/s
+"""Seconds for a body that keeps arriving: ``MAX_RESPONSE_BYTES`` over a link of 2 Mbit/s
 takes 17 s."""
 
 _NEVER_SENT = (
@@ -41,7 +41,7 @@
 )
 
 
-class HttpAnswer(msgspec.Struct, frozen=True):
+class HttpResponse(msgspec.Struct, frozen=True):
     """A whole answer: its length was checked against what was announced."""
 
     status: int
@@ -120,10 +120,10 @@
 class _BodyCollector(_BodyReader):
     """Collect a body of at most so many bytes."""
 
-    def __init__(self, most_bytes: int, on_part: Callable[[], None]) -> None:
+    def __init__(self, max_bytes: int, on_part: Callable[[], None]) -> None:
         super().__init__(self._keep)
         self._on_part = on_part
-        self._most_bytes = most_bytes
+        self._most_bytes = max_bytes
         self._size = 0
         self._chunks: list[bytes] = []
         self.too_large = False
@@ -175,15 +175,19 @@
     """Call one kind of outside system through a pool of connections."""
 
     def __init__(
-        self, *, per_host: int = 8, persistent: bool = True, source_ip: str = ""
+        self,
+        *,
+        max_idle_per_host: int = 8,
+        persistent: bool = True,
+        source_ip: str = "",
     ) -> None:
-        """Keep at most ``per_host`` idle connections to each host.
+        """Keep at most ``max_idle_per_host`` idle connections to each host.
 
         Connections leave from ``source_ip``, so that a VM with several
         addresses is seen under the one in its settings.
         """
         pool = HTTPConnectionPool(reactor, persistent=persistent)
-        pool.maxPersistentPerHost = per_host
+        pool.maxPersistentPerHost = max_idle_per_host
         pool.cachedConnectionTimeout = 20
         # The pool would quietly send a request again when its peer closed the
         # connection; whether that is safe is for the caller to decide.
@@ -205,15 +209,15 @@
         timeout_s: float,
         send_within_s: float | None = None,
         stall_s: float | None = None,
-        most_bytes: int = MAX_RESPONSE,
-    ) -> HttpAnswer | NotSent | SentUnanswered:
+        max_bytes: int = MAX_RESPONSE_BYTES,
+    ) -> HttpResponse | NotSent | SentUnanswered:
         """Call and return the whole answer, or how far the call came.
 
         ``timeout_s`` is for the whole answer. With ``stall_s`` it is for the answer's
         beginning, and the body may take longer as long as no ``stall_s`` pass without a
         part of it: how long a large body takes depends on the link, and one that is cut
         off and asked for again never comes to its end.
-        A body of more than ``most_bytes`` is not read: ``AnswerTooLarge``.
+        A body of more than ``max_bytes`` is not read: ``AnswerTooLarge``.
         A request with a body that has not left within ``send_within_s``, because no
         connection was there, never leaves: ``NotSent``.
         """
@@ -224,9 +228,9 @@
             return opened
         response, remaining_s = opened
         self._count_part()
-        reader = _BodyCollector(most_bytes, self._count_part)
+        reader = _BodyCollector(max_bytes, self._count_part)
         response.deliverBody(reader)
-        if response.length is not UNKNOWN_LENGTH and response.length > most_bytes:
+        if response.length is not UNKNOWN_LENGTH and response.length > max_bytes:
             reader.give_up()
         try:
             limit_s = remaining_s if stall_s is None else MOST_BODY_S
@@ -235,13 +239,13 @@
             # Also when the caller is cancelled: nobody waits for the rest.
             _abort(reader)
         if reader.too_large:
-            return AnswerTooLarge(reason=f"answer of more than {most_bytes} bytes")
+            return AnswerTooLarge(reason=f"answer of more than {max_bytes} bytes")
         if not ended:
             return SentUnanswered(reason="timed out while reading the answer")
         broken = reader.done.result()
         if broken is not None:
             return SentUnanswered(reason=broken)
-        return HttpAnswer(response.code, _flatten(response.headers), reader.body)
+        return HttpResponse(response.code, _flatten(response.headers), reader.body)
 
     def _count_part(self) -> None:
         self.parts_received += 1
--- a/src/firladder/_internal/network/http_limits.py
+++ b/src/firladder/_internal/network/http_limits.py
@@ -13,7 +13,7 @@
 from ..exceptions import BodyTooLarge
 from ..utils.codec import encode_json
 
-MAX_BODY = 256 * 1024
+MAX_BODY_BYTES = 256 * 1024
 """Bytes of a body; a season's block of a squad is some tens of kilobytes."""
 
 MAX_CONNECTIONS = 512
@@ -35,10 +35,10 @@
     whole for longest; callers whose requests run are never cut for it.
     """
 
-    def __init__(self, *, most: int, patience_s: float) -> None:
+    def __init__(self, *, most: int, request_timeout_s: float) -> None:
         """Hold at most ``most`` connections."""
         self._most = most
-        self._patience_s = patience_s
+        self._patience_s = request_timeout_s
         self._waiting: dict[Any, float] = {}
         self._served: set[Any] = set()
         self.dropped = 0
@@ -95,7 +95,7 @@
 class LimitedRequest(Request):
     """A request that refuses an oversized body before it is read."""
 
-    max_body_bytes: ClassVar[int] = MAX_BODY
+    max_body_bytes: ClassVar[int] = MAX_BODY_BYTES
     _received = 0
     _refused = False
 
@@ -140,7 +140,7 @@
             # The caller closes when it has read the end of the answer, or the
             # patience is over.
             return
-        self.channel.site.places.serve(self.channel.transport)
+        self.channel.site.connection_tracker.serve(self.channel.transport)
         super().process()
 
     def finish(self) -> None:
@@ -158,22 +158,24 @@
         self,
         resource: Resource,
         *,
-        max_body: int,
+        max_body_bytes: int,
         max_connections: int,
-        patience_s: float,
+        request_timeout_s: float,
         read_clock: Callable[[], float],
     ) -> None:
         """Serve ``resource`` within the limits given."""
         limited = type(
-            "LimitedRequest", (LimitedRequest,), {"max_body_bytes": max_body}
+            "LimitedRequest", (LimitedRequest,), {"max_body_bytes": max_body_bytes}
+        )
+        super().__init__(resource, requestFactory=limited, timeout=request_timeout_s)
+        self.connection_tracker = Places(
+            most=max_connections, request_timeout_s=request_timeout_s
         )
-        super().__init__(resource, requestFactory=limited, timeout=patience_s)
-        self.places = Places(most=max_connections, patience_s=patience_s)
         self._read_clock = read_clock
 
     def buildProtocol(self, addr: IAddress) -> IProtocol | None:  # noqa: N802
         """Return a channel for a newcomer, or None, which closes it at once."""
-        allowed, leaver = self.places.find_room()
+        allowed, leaver = self.connection_tracker.find_room()
         if leaver is not None:
             leaver.abortConnection()
         if not allowed:
@@ -182,12 +184,12 @@
         make, lose = channel.makeConnection, channel.connectionLost
 
         def count_in(transport: Any) -> None:
-            self.places.rest(transport, self._read_clock())
+            self.connection_tracker.rest(transport, self._read_clock())
             channel.connectionLost = functools.partial(count_out, transport)
             make(transport)
 
         def count_out(transport: Any, *args: Any) -> None:
-            self.places.leave(transport)
+            self.connection_tracker.leave(transport)
             lose(*args)
 
         channel.makeConnection = count_in
@@ -195,13 +197,13 @@
 
     def note_answered(self, transport: Any) -> None:
         """Start the patience anew after an answer."""
-        self.places.rest(transport, self._read_clock())
+        self.connection_tracker.rest(transport, self._read_clock())
 
     async def sweep(self) -> None:
         """Close the connections that take too long, until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_S)
-            for transport in self.places.take_late(self._read_clock()):
+            for transport in self.connection_tracker.take_late(self._read_clock()):
                 transport.abortConnection()
 
     def log(self, request: http.Request) -> None:
--- a/src/firladder/_internal/network/http_server.py
+++ b/src/firladder/_internal/network/http_server.py
@@ -22,7 +22,13 @@
 from ..utils.addresses import split_address
 from ..utils.codec import encode_json
 from ..utils.tasks import TaskSet
-from .http_limits import MAX_BODY, MAX_CONNECTIONS, PATIENCE_S, LimitedSite, Places
+from .http_limits import (
+    MAX_BODY_BYTES,
+    MAX_CONNECTIONS,
+    PATIENCE_S,
+    LimitedSite,
+    Places,
+)
 from .listening import HANDSHAKE_S, ignore_new_connections
 
 logger = logging.getLogger(__name__)
@@ -210,17 +216,17 @@
         app: Any,
         routes: Routes,
         *,
-        max_body: int = MAX_BODY,
+        max_body_bytes: int = MAX_BODY_BYTES,
         max_connections: int = MAX_CONNECTIONS,
-        patience_s: float = PATIENCE_S,
+        request_timeout_s: float = PATIENCE_S,
     ) -> None:
         """Serve ``routes`` with ``app`` as the first argument of each handler."""
         self._tasks = TaskSet()
         self._site = LimitedSite(
             _Root(app, routes, self._tasks),
-            max_body=max_body,
+            max_body_bytes=max_body_bytes,
             max_connections=max_connections,
-            patience_s=patience_s,
+            request_timeout_s=request_timeout_s,
             read_clock=time.monotonic,
         )
         self._port: Any = None
@@ -231,9 +237,9 @@
         return self._site
 
     @property
-    def places(self) -> Places:
+    def connection_tracker(self) -> Places:
         """Return the connections that are open."""
-        return self._site.places
+        return self._site.connection_tracker
 
     def listen(self, address: str) -> None:
         """Listen on ``host:port``."""
@@ -261,9 +267,9 @@
         """
         end = time.monotonic() + within_s
         while True:
-            for transport in self.places.take_waiting():
+            for transport in self.connection_tracker.take_waiting():
                 transport.loseConnection()
-            if not self.places.count_served() or time.monotonic() >= end:
+            if not self.connection_tracker.count_served() or time.monotonic() >= end:
                 return
             await asyncio.sleep(FINISH_LOOK_S)
 
--- a/src/firladder/_internal/node/daemon.py
+++ b/src/firladder/_internal/node/daemon.py
@@ -101,14 +101,16 @@
         self._stopping = asyncio.Event()
         self._leader_missing = asyncio.Event()
         self._worker_http = HttpClient(
-            per_host=MAX_WORKER_CONNECTIONS, source_ip=self.settings.ip
+            max_idle_per_host=MAX_WORKER_CONNECTIONS, source_ip=self.settings.ip
         )
         self.store = PlatformStore(
             address=self.settings.store_address,
-            http=HttpClient(per_host=MAX_STORE_CONNECTIONS, source_ip=self.settings.ip),
+            http=HttpClient(
+                max_idle_per_host=MAX_STORE_CONNECTIONS, source_ip=self.settings.ip
+            ),
             clock=self.clock,
         )
-        self.store.on_state = self._record_store_state
+        self.store.on_reachability_change = self._record_store_state
         self.fabric = Fabric(
             address=f"{self.settings.ip}:{self.settings.peer_port}",
             sender=f"{self.settings.vm}/{self.incarnation}",
--- a/src/firladder/_internal/node/prefix_watch.py
+++ b/src/firladder/_internal/node/prefix_watch.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ..exceptions import HistoryLost
-from ..network.http_client import MAX_RESPONSE
+from ..network.http_client import MAX_RESPONSE_BYTES
 from ..platform.store import Change, Changes, Listing, PlatformStore
 from ..utils.clocks import Clock
 from ..utils.events import Event, Timeline
@@ -93,7 +93,7 @@
             self.prefix,
             after=self._revision,
             wait_s=0.0 if self._failed else self._wait_s,
-            most_bytes=self._choose_max_bytes(),
+            max_bytes=self._choose_max_bytes(),
         )
         if isinstance(found, HistoryLost):
             # The missed changes are lost: only a new listing shows the state.
@@ -114,7 +114,7 @@
 
     def _choose_max_bytes(self) -> int:
         if not self._newest_only:
-            return MAX_RESPONSE
+            return MAX_RESPONSE_BYTES
         return max(MIN_CHANGES_LIMIT_BYTES, CHANGES_FACTOR * self._state_bytes)
 
     async def _list(self) -> bool:
--- a/src/firladder/_internal/node/progress_writer.py
+++ b/src/firladder/_internal/node/progress_writer.py
@@ -9,13 +9,13 @@
 from ..engine.progress import encode_progress
 from ..engine.state import TERMINAL, Job
 from ..exceptions import LeaseEnded, NotLeader, StoreUnavailable, StoreUncertain
-from ..platform.store import MAX_ENTRIES, Conflict, PlatformStore, Write
+from ..platform.store import MAX_TRANSACTION_ENTRIES, Conflict, PlatformStore, Write
 from ..utils.clocks import Clock
 from .keys import LEADER, PROGRESS
 
 logger = logging.getLogger(__name__)
 
-MAX_JOBS_PER_WRITE = (MAX_ENTRIES - 1) // 2
+MAX_JOBS_PER_WRITE = (MAX_TRANSACTION_ENTRIES - 1) // 2
 """Maximum jobs of one transaction: each takes one comparison and one write, and the
 leader's key one comparison."""
 
--- a/src/firladder/_internal/node/retention.py
+++ b/src/firladder/_internal/node/retention.py
@@ -30,10 +30,10 @@
         core: Core,
         store: PlatformStore,
         clock: Clock,
-        kept_s: float,
+        retention_s: float,
         revisions: dict[str, int],
     ) -> None:
-        """Keep ended jobs for ``kept_s`` seconds.
+        """Keep ended jobs for ``retention_s`` seconds.
 
         ``revisions`` holds the revision of each progress record, by job ID; those of
         deleted jobs are removed.
@@ -41,7 +41,7 @@
         self._core = core
         self._store = store
         self._clock = clock
-        self._kept_s = kept_s
+        self._kept_s = retention_s
         self._revisions = revisions
 
     async def run(self) -> None:
--- a/src/firladder/_internal/node/term.py
+++ b/src/firladder/_internal/node/term.py
@@ -76,7 +76,7 @@
         self._load_timeout_s = load_timeout_s
         self._on_order = on_order
         self.load_timed_out = False
-        self.core = Core(lease_s=settings.max_hold_s, note=self._record_decision)
+        self.core = Core(lease_s=settings.max_lease_s, note=self._record_decision)
         self.calls = calls
         self.timeout_estimator = TimeoutEstimator()
         self.clock = clock
@@ -112,7 +112,7 @@
             core=self.core,
             store=store,
             clock=clock,
-            kept_s=settings.kept_s,
+            retention_s=settings.retention_s,
             revisions=self._revisions,
         )
 
--- a/src/firladder/_internal/platform/settings.py
+++ b/src/firladder/_internal/platform/settings.py
@@ -70,8 +70,8 @@
     peer_port: int
     peers: tuple[str, ...]
     store_address: str
-    max_hold_s: float
-    kept_s: float
+    max_lease_s: float
+    retention_s: float
     reclaim_s: float
     restart_s: float
     processor_cores: float
@@ -102,8 +102,8 @@
         peer_port=first_port,
         peers=tuple(seed.rpartition(":")[0] for seed in wire.seeds),
         store_address=wire.platform.address,
-        max_hold_s=bounds.max_hold_ms / 1000,
-        kept_s=bounds.status_s,
+        max_lease_s=bounds.max_hold_ms / 1000,
+        retention_s=bounds.status_s,
         reclaim_s=bounds.reclaim_ms / 1000,
         restart_s=(bounds.stop_grace_ms + bounds.restore_ms) / 1000,
         processor_cores=wire.limits.cpu_share * wire.limits.cores,
--- a/src/firladder/_internal/platform/store.py
+++ b/src/firladder/_internal/platform/store.py
@@ -21,7 +21,7 @@
     StoreUnavailable,
     StoreUncertain,
 )
-from ..network.http_client import MAX_RESPONSE, HttpAnswer, HttpClient
+from ..network.http_client import MAX_RESPONSE_BYTES, HttpClient, HttpResponse
 from ..utils.clocks import Clock
 from ..utils.codec import encode_json
 
@@ -42,7 +42,7 @@
 """Seconds beyond a watch's own waiting time before its connection counts as
 silent; a slow store answers within 240 ms."""
 
-MAX_ENTRIES = 32
+MAX_TRANSACTION_ENTRIES = 32
 """Entries that one transaction may hold, comparisons included."""
 
 T = TypeVar("T")
@@ -157,7 +157,9 @@
         self._http = http
         self.calls = 0
         self.reachable = True
-        self.on_state: Callable[[bool, str], None] = lambda reachable, reason: None
+        self.on_reachability_change: Callable[[bool, str], None] = (
+            lambda reachable, reason: None
+        )
 
     def unreachable_s(self, now: float) -> float:
         """Return for how long no call was answered; 0 if the last one was."""
@@ -168,7 +170,7 @@
     ) -> Item | NotFound | StoreUnavailable | StoreUncertain:
         """Return the item under ``key``."""
         answer = await self._call("GET", "/-/kv-key", {"key": key}, timeout_s=timeout_s)
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         if answer.status == 404:
             return NotFound(reason="no such key", field=key)
@@ -190,7 +192,7 @@
                 timeout_s=RANGE_START_S,
                 stall_s=STALL_S,
             )
-            if not isinstance(answer, HttpAnswer):
+            if not isinstance(answer, HttpResponse):
                 return answer
             page = self._decode(answer, _Range)
             if not isinstance(page, _Range):
@@ -209,11 +211,11 @@
         *,
         after: int,
         wait_s: float,
-        most_bytes: int = MAX_RESPONSE,
+        max_bytes: int = MAX_RESPONSE_BYTES,
     ) -> Changes | HistoryLost | StoreUnavailable | StoreUncertain:
         """Return the changes after a revision, waiting for the first.
 
-        If they take more than ``most_bytes``, they are not read: ``HistoryLost``.
+        If they take more than ``max_bytes``, they are not read: ``HistoryLost``.
         """
         query = {
             "prefix": prefix,
@@ -226,11 +228,11 @@
             query,
             timeout_s=wait_s + WATCH_SLACK_S,
             stall_s=STALL_S,
-            most_bytes=most_bytes,
+            max_bytes=max_bytes,
         )
         if isinstance(answer, StoreAnswerTooLarge):
             return HistoryLost(reason=answer.reason)
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         if answer.status == 410:
             return HistoryLost(reason=f"history after {after} is gone")
@@ -271,7 +273,7 @@
         answer = await self._call(
             "POST", "/-/kv-txn", body=encode_json(body), timeout_s=timeout_s
         )
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         if answer.status == 404:
             return LeaseEnded(reason="the lease of a written key has ended")
@@ -289,7 +291,7 @@
         """Return a new lease that ends ``ttl_s`` after its last renewal."""
         body = encode_json({"ttl_ms": int(ttl_s * 1000)})
         answer = await self._call("POST", "/-/kv-lease", body=body)
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         found = self._decode(answer, _Lease)
         return found.lease if isinstance(found, _Lease) else found
@@ -299,7 +301,7 @@
     ) -> None | LeaseEnded | StoreUnavailable | StoreUncertain:
         """Renew a lease; None says it was done."""
         answer = await self._call("POST", f"/-/kv-keep/{lease}", timeout_s=timeout_s)
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         if answer.status == 404:
             return LeaseEnded(reason="the lease has ended")
@@ -310,7 +312,7 @@
     async def end_lease(self, lease: int) -> StoreConflict | None:
         """End a lease; its keys go at once. A failure leaves it to its time."""
         answer = await self._call("DELETE", f"/-/kv-lease-end/{lease}")
-        if isinstance(answer, HttpAnswer) and answer.status in (200, 204, 404):
+        if isinstance(answer, HttpResponse) and answer.status in (200, 204, 404):
             return None
         return StoreConflict(reason=f"lease not ended: {answer}")
 
@@ -323,8 +325,8 @@
         body: bytes = b"",
         timeout_s: float = CALL_TIMEOUT_S,
         stall_s: float | None = None,
-        most_bytes: int = MAX_RESPONSE,
-    ) -> HttpAnswer | StoreUnavailable | StoreUncertain:
+        max_bytes: int = MAX_RESPONSE_BYTES,
+    ) -> HttpResponse | StoreUnavailable | StoreUncertain:
         self.calls += 1
         url = f"http://{self.address}{path}"
         if query:
@@ -336,7 +338,7 @@
             body=body,
             timeout_s=timeout_s,
             stall_s=stall_s,
-            most_bytes=most_bytes,
+            max_bytes=max_bytes,
         )
         if isinstance(answer, AnswerTooLarge):
             return StoreAnswerTooLarge(reason=answer.reason)
@@ -357,17 +359,17 @@
             return turned_away
         if not self.reachable:
             self.reachable = True
-            self.on_state(True, "")
+            self.on_reachability_change(True, "")
         return answer
 
     def _note_lost(self, reason: str) -> None:
         if self.reachable:
             self.reachable = False
             self._lost_at = self._clock.read_monotonic()
-            self.on_state(False, reason)
+            self.on_reachability_change(False, reason)
 
     def _decode(
-        self, answer: HttpAnswer, type_: type[T], *, status: int = 200
+        self, answer: HttpResponse, type_: type[T], *, status: int = 200
     ) -> T | StoreUncertain:
         if answer.status != status:
             logger.warning("store answered %d: %r", answer.status, answer.body[:200])
--- a/src/firladder/_internal/platform/workers.py
+++ b/src/firladder/_internal/platform/workers.py
@@ -23,7 +23,7 @@
     TaskId,
     WorkerReport,
 )
-from ..network.http_client import HttpAnswer, HttpClient
+from ..network.http_client import HttpClient, HttpResponse
 from ..utils.codec import encode_json
 
 logger = logging.getLogger(__name__)
@@ -111,7 +111,7 @@
         }
         return await self._order(order, "/-/run-stop", body, send_within_s, timeout_s)
 
-    async def look(
+    async def poll(
         self,
         worker_id: str,
         address: str,
@@ -132,7 +132,7 @@
         if wait_s:
             body["wait_ms"] = int(min(wait_s, MAX_WAIT_S) * 1000)
         answer = await self._call(worker_id, address, "/-/hold", body, timeout_s)
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         try:
             wire = msgspec.json.decode(answer.body, type=_Look)
@@ -161,7 +161,7 @@
             timeout_s,
             send_within_s=send_within_s,
         )
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         try:
             return msgspec.json.decode(answer.body, type=_Clock).clock_ms / 1000
@@ -178,7 +178,7 @@
         timeout_s: float,
         *,
         send_within_s: float | None = None,
-    ) -> HttpAnswer | OrderFailure:
+    ) -> HttpResponse | OrderFailure:
         self.calls += 1
         answer = await self._http.call(
             "POST",
@@ -188,14 +188,14 @@
             timeout_s=timeout_s,
             send_within_s=send_within_s,
         )
-        if not isinstance(answer, HttpAnswer):
+        if not isinstance(answer, HttpResponse):
             return answer
         if answer.status == 200:
             return answer
         return _explain(answer)
 
 
-def _explain(answer: HttpAnswer) -> OrderFailure:
+def _explain(answer: HttpResponse) -> OrderFailure:
     if answer.status == 421:
         return WorkerReplaced(reason="another incarnation answers at this address")
     if answer.status in (429, 503):
--- a/src/firladder/_internal/scheduler/daemon.py
+++ b/src/firladder/_internal/scheduler/daemon.py
@@ -60,7 +60,7 @@
         super().__init__(settings)
         self.metrics = SchedulerMetrics()
         self.worker_client = WorkerClient(
-            http=HttpClient(per_host=4, source_ip=self.source_ip)
+            http=HttpClient(max_idle_per_host=4, source_ip=self.source_ip)
         )
         self.leadership = Leadership(
             identity=self.identity,
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -65,7 +65,7 @@
     """Start the store and the workers."""
     store, ledger = MemoryStore(options.seed), Ledger()
     app = PlatformApp(store, ledger)
-    HttpServer(app, routes, max_body=STORED_BYTES).listen(options.store)
+    HttpServer(app, routes, max_body_bytes=STORED_BYTES).listen(options.store)
     loops = [store.expire()]
     for number, pair in enumerate(options.workers.split(",")):
         address, _, advertised = pair.partition(">")
--- a/standins/store.py
+++ b/standins/store.py
@@ -293,7 +293,7 @@
 async def main(options: argparse.Namespace) -> None:
     """Serve until stopped."""
     store = Store()
-    server = HttpServer(store, routes, max_body=2 * 1024 * 1024)
+    server = HttpServer(store, routes, max_body_bytes=2 * 1024 * 1024)
     server.listen(options.address)
     store.expiry = asyncio.create_task(store.expire_leases())  # type: ignore[attr-defined]
 
