--- a/src/firladder/_internal/network/http_client.py
+++ b/src/firladder/_internal/network/http_client.py
@@ -31,8 +31,8 @@
 """Bytes of an answer; the store holds values of at most one megabyte."""
 
 MOST_BODY_S = 20.0
-"""Seconds for a body that keeps arriving: ``MAX_RESPONSE_BYTES`` over a link of 2 Mbit/s
-takes 17 s."""
+"""Limit for a body that keeps arriving; ``MAX_RESPONSE_BYTES`` takes 17 s at
+2 Mbit/s."""
 
 _NEVER_SENT = (
     net_error.ConnectError,
