--- a/features/steps/network_answers_steps.py
+++ b/features/steps/network_answers_steps.py
@@ -110,7 +110,7 @@
 )
 def call_server_for_parts(context, limit, stall):
     context.http = HttpClient()
-    call_with(context, timeout_s=limit, stall_s=stall)
+    call_with(context, timeout_s=limit, stall_timeout_s=stall)
 
 
 @when("it is called for at most {most:d} bytes")
--- a/src/firladder/_internal/etcd/store.py
+++ b/src/firladder/_internal/etcd/store.py
@@ -33,7 +33,7 @@
 """Seconds without an event or a progress note after which a watch is dead:
 two notes and the time of one on its way."""
 
-STALL_S = 1.0
+STALL_TIMEOUT_S = 1.0
 """Seconds without a part of a listing after which it is given up. It may hold a
 configuration of a megabyte, which takes long over a small link."""
 
@@ -145,7 +145,7 @@
         body: dict[str, Any],
         *,
         timeout_s: float = CALL_TIMEOUT_S,
-        stall_s: float | None = None,
+        stall_timeout_s: float | None = None,
     ) -> HttpResponse | Lost:
         self.calls += 1
         answer = await self._http.call(
@@ -153,7 +153,7 @@
             f"{self._url}{path}",
             body=encode_json(body),
             timeout_s=timeout_s,
-            stall_s=stall_s,
+            stall_timeout_s=stall_timeout_s,
         )
         if isinstance(answer, HttpResponse) and answer.status == 200:
             self.reachable = True
@@ -181,7 +181,7 @@
         return found.entries[0] if found.entries else None
 
     async def _range(self, body: dict[str, Any]) -> Snapshot | Lost:
-        answer = await self._call("/v3/kv/range", body, stall_s=STALL_S)
+        answer = await self._call("/v3/kv/range", body, stall_timeout_s=STALL_TIMEOUT_S)
         if not isinstance(answer, HttpResponse):
             return answer
         parsed = msgspec.json.decode(answer.body, type=RangeAnswer)
--- a/src/firladder/_internal/network/http_client.py
+++ b/src/firladder/_internal/network/http_client.py
@@ -83,7 +83,9 @@
         self._received_at = loop.time()
         self.done: asyncio.Future[str | None] = loop.create_future()
 
-    async def wait(self, limit_s: float, *, stall_s: float | None = None) -> bool:
+    async def wait(
+        self, limit_s: float, *, stall_timeout_s: float | None = None
+    ) -> bool:
         """Wait for the end; tell whether it came.
 
         ``done`` is not cancelled: it would count as ended, and the connection would
@@ -91,7 +93,11 @@
         """
         end = self._loop.time() + limit_s
         while not self.done.done():
-            until = end if stall_s is None else min(end, self._received_at + stall_s)
+            until = (
+                end
+                if stall_timeout_s is None
+                else min(end, self._received_at + stall_timeout_s)
+            )
             left_s = until - self._loop.time()
             if left_s <= 0:
                 return False
@@ -193,7 +199,7 @@
         # connection; whether that is safe is for the caller to decide.
         pool.retryAutomatically = False
         self._pool = pool
-        self.parts_received = 0
+        self.chunks_received = 0
         """Parts of answers that have come so far; a sign that the other side lives."""
         self._agent = Agent.usingEndpointFactory(
             reactor, _EndpointFactory(source_ip), pool=pool
@@ -208,13 +214,13 @@
         headers: dict[str, str] | None = None,
         timeout_s: float,
         send_within_s: float | None = None,
-        stall_s: float | None = None,
+        stall_timeout_s: float | None = None,
         max_bytes: int = MAX_RESPONSE_BYTES,
     ) -> HttpResponse | NotSent | SentUnanswered:
         """Call and return the whole answer, or how far the call came.
 
-        ``timeout_s`` is for the whole answer. With ``stall_s`` it is for the answer's
-        beginning, and the body may take longer as long as no ``stall_s`` pass without a
+        ``timeout_s`` is for the whole answer. With ``stall_timeout_s`` it is for the answer's
+        beginning, and the body may take longer as long as no ``stall_timeout_s`` pass without a
         part of it: how long a large body takes depends on the link, and one that is cut
         off and asked for again never comes to its end.
         A body of more than ``max_bytes`` is not read: ``AnswerTooLarge``.
@@ -233,8 +239,8 @@
         if response.length is not UNKNOWN_LENGTH and response.length > max_bytes:
             reader.give_up()
         try:
-            limit_s = remaining_s if stall_s is None else MOST_BODY_S
-            ended = await reader.wait(limit_s, stall_s=stall_s)
+            limit_s = remaining_s if stall_timeout_s is None else MOST_BODY_S
+            ended = await reader.wait(limit_s, stall_timeout_s=stall_timeout_s)
         finally:
             # Also when the caller is cancelled: nobody waits for the rest.
             _abort(reader)
@@ -248,7 +254,7 @@
         return HttpResponse(response.code, _flatten(response.headers), reader.body)
 
     def _count_part(self) -> None:
-        self.parts_received += 1
+        self.chunks_received += 1
 
     async def stream(
         self, method: str, url: str, *, body: bytes = b"", timeout_s: float
@@ -310,7 +316,7 @@
             future.cancel()
         return response, max(0.001, deadline - loop.time())
 
-    def drop_idle(self) -> None:
+    def drop_idle_connections(self) -> None:
         """Abort the idle connections; the next calls open new ones."""
         self._pool.closeCachedConnections()
 
--- a/src/firladder/_internal/platform/discovery.py
+++ b/src/firladder/_internal/platform/discovery.py
@@ -18,7 +18,7 @@
     gpu: int = 0
 
 
-class _Beat(msgspec.Struct):
+class _WorkerRecord(msgspec.Struct):
     # The pool's name; `backend` names no single host here.
     backend: str
     address: str
@@ -32,7 +32,7 @@
 
 def decode_worker(key: str, value: bytes) -> WorkerEntry | MalformedBody:
     """Return a worker's entry, or why it names no usable worker."""
-    wire = decode_json(value, _Beat)
+    wire = decode_json(value, _WorkerRecord)
     if isinstance(wire, MalformedBody):
         return wire
     if wire.state not in (_READY, _DRAINING):
--- a/src/firladder/_internal/platform/store.py
+++ b/src/firladder/_internal/platform/store.py
@@ -30,15 +30,15 @@
 CALL_TIMEOUT_S = 0.8
 """Seconds for an answer; the store takes 4 ms, and 240 ms when it is slow."""
 
-RANGE_START_S = 1.5
+PAGE_START_TIMEOUT_S = 1.5
 """Seconds until a page of a listing begins to arrive: the store takes up to 300 ms when
 it is slow, and the beginning may wait behind other answers on a small link."""
 
-STALL_S = 1.0
+STALL_TIMEOUT_S = 1.0
 """Seconds without a part of a large answer after which it is given up. A page or a
 change may have a megabyte, which takes 1.7 s and more over a link of 5 Mbit/s."""
 
-WATCH_SLACK_S = 0.6
+WATCH_MARGIN_S = 0.6
 """Seconds beyond a watch's own waiting time before its connection counts as
 silent; a slow store answers within 240 ms."""
 
@@ -152,7 +152,7 @@
     def __init__(self, *, address: str, http: HttpClient, clock: Clock) -> None:
         """Call the store at ``address`` (``ip:port``)."""
         self._clock = clock
-        self._lost_at = 0.0
+        self._unreachable_since = 0.0
         self.address = address
         self._http = http
         self.calls = 0
@@ -163,7 +163,7 @@
 
     def unreachable_s(self, now: float) -> float:
         """Return for how long no call was answered; 0 if the last one was."""
-        return 0.0 if self.reachable else now - self._lost_at
+        return 0.0 if self.reachable else now - self._unreachable_since
 
     async def read_item(
         self, key: str, *, timeout_s: float = CALL_TIMEOUT_S
@@ -189,8 +189,8 @@
                 "GET",
                 "/-/kv-range",
                 query,
-                timeout_s=RANGE_START_S,
-                stall_s=STALL_S,
+                timeout_s=PAGE_START_TIMEOUT_S,
+                stall_timeout_s=STALL_TIMEOUT_S,
             )
             if not isinstance(answer, HttpResponse):
                 return answer
@@ -226,8 +226,8 @@
             "GET",
             "/-/kv-watch",
             query,
-            timeout_s=wait_s + WATCH_SLACK_S,
-            stall_s=STALL_S,
+            timeout_s=wait_s + WATCH_MARGIN_S,
+            stall_timeout_s=STALL_TIMEOUT_S,
             max_bytes=max_bytes,
         )
         if isinstance(answer, StoreAnswerTooLarge):
@@ -324,20 +324,20 @@
         *,
         body: bytes = b"",
         timeout_s: float = CALL_TIMEOUT_S,
-        stall_s: float | None = None,
+        stall_timeout_s: float | None = None,
         max_bytes: int = MAX_RESPONSE_BYTES,
     ) -> HttpResponse | StoreUnavailable | StoreUncertain:
         self.calls += 1
         url = f"http://{self.address}{path}"
         if query:
             url += "?" + urlencode(query)
-        parts_before = self._http.parts_received
+        chunks_before = self._http.chunks_received
         answer = await self._http.call(
             method,
             url,
             body=body,
             timeout_s=timeout_s,
-            stall_s=stall_s,
+            stall_timeout_s=stall_timeout_s,
             max_bytes=max_bytes,
         )
         if isinstance(answer, AnswerTooLarge):
@@ -345,27 +345,27 @@
         if isinstance(answer, NotSent | SentUnanswered):
             # What waits behind a large answer on a small link may run out of time.
             # While that answer arrives, the store is not away.
-            if self._http.parts_received == parts_before:
-                self._note_lost(answer.reason)
+            if self._http.chunks_received == chunks_before:
+                self._mark_unreachable(answer.reason)
                 # Connections may have fallen silent for good. Tried one after the
                 # other, each idle one would cost a call its whole time.
-                self._http.drop_idle()
+                self._http.drop_idle_connections()
             kind = StoreUnavailable if isinstance(answer, NotSent) else StoreUncertain
             return kind(reason=answer.reason)
         if answer.status in (429, 503):
             # The store says that it did nothing.
             turned_away = StoreUnavailable(reason=f"turned away: {answer.status}")
-            self._note_lost(turned_away.reason)
+            self._mark_unreachable(turned_away.reason)
             return turned_away
         if not self.reachable:
             self.reachable = True
             self.on_reachability_change(True, "")
         return answer
 
-    def _note_lost(self, reason: str) -> None:
+    def _mark_unreachable(self, reason: str) -> None:
         if self.reachable:
             self.reachable = False
-            self._lost_at = self._clock.read_monotonic()
+            self._unreachable_since = self._clock.read_monotonic()
             self.on_reachability_change(False, reason)
 
     def _decode(
--- a/src/firladder/_internal/platform/submissions.py
+++ b/src/firladder/_internal/platform/submissions.py
@@ -6,7 +6,7 @@
 from ..models.workload import Resources, Step, Workload
 from ..utils.codec import decode_json
 
-MAX_PAYLOAD = 4000
+MAX_PAYLOAD_BYTES = 4000
 """Bytes of the opaque text that a job may carry to its tasks."""
 
 MAX_TASKS = 10_000
@@ -49,7 +49,7 @@
     wire = decode_json(body, _Submission)
     if isinstance(wire, MalformedBody):
         return wire
-    problem = _find_problem(wire)
+    problem = _validate(wire)
     if problem is not None:
         return problem
     return Workload(
@@ -61,9 +61,9 @@
     )
 
 
-def _find_problem(wire: _Submission) -> InvalidValue | None:
-    if len(wire.spec.encode()) > MAX_PAYLOAD:
-        return InvalidValue(reason=f"at most {MAX_PAYLOAD} bytes", field="spec")
+def _validate(wire: _Submission) -> InvalidValue | None:
+    if len(wire.spec.encode()) > MAX_PAYLOAD_BYTES:
+        return InvalidValue(reason=f"at most {MAX_PAYLOAD_BYTES} bytes", field="spec")
     if not wire.steps:
         return InvalidValue(reason="at least one step", field="steps")
     tasks = sum(s.count for s in wire.steps) * max(1, wire.times)
--- a/src/firladder/_internal/platform/workers.py
+++ b/src/firladder/_internal/platform/workers.py
@@ -40,12 +40,12 @@
 }
 
 
-class _Clock(msgspec.Struct):
+class _OrderReply(msgspec.Struct):
     clock_ms: float
     reason: str = ""
 
 
-class _Look(msgspec.Struct):
+class _PollReply(msgspec.Struct):
     clock_ms: float
     # Rows: task, run, checkpoint, per cent, and a usage figure that may lack.
     running: list[list[Any]] = []
@@ -135,7 +135,7 @@
         if not isinstance(answer, HttpResponse):
             return answer
         try:
-            wire = msgspec.json.decode(answer.body, type=_Look)
+            wire = msgspec.json.decode(answer.body, type=_PollReply)
             return WorkerReport(
                 wire.clock_ms / 1000,
                 tuple(filter(None, map(_convert_running, wire.running))),
@@ -164,7 +164,7 @@
         if not isinstance(answer, HttpResponse):
             return answer
         try:
-            return msgspec.json.decode(answer.body, type=_Clock).clock_ms / 1000
+            return msgspec.json.decode(answer.body, type=_OrderReply).clock_ms / 1000
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             logger.warning("worker %s: unreadable answer: %s", order.worker_id, error)
             return SentUnanswered(reason=f"unreadable answer: {error}")
@@ -192,16 +192,16 @@
             return answer
         if answer.status == 200:
             return answer
-        return _explain(answer)
+        return _classify_refusal(answer)
 
 
-def _explain(answer: HttpResponse) -> OrderFailure:
+def _classify_refusal(answer: HttpResponse) -> OrderFailure:
     if answer.status == 421:
         return WorkerReplaced(reason="another incarnation answers at this address")
     if answer.status in (429, 503):
         return WorkerRefused(reason=f"turned away: {answer.status}")
     try:
-        reason = msgspec.json.decode(answer.body, type=_Clock).reason
+        reason = msgspec.json.decode(answer.body, type=_OrderReply).reason
     except (msgspec.DecodeError, UnicodeDecodeError):
         reason = ""
     why = _REJECTIONS.get(reason, "other")
