--- a/src/firladder/_internal/network/http_client.py
+++ b/src/firladder/_internal/network/http_client.py
@@ -217,15 +217,16 @@
         stall_timeout_s: float | None = None,
         max_bytes: int = MAX_RESPONSE_BYTES,
     ) -> HttpResponse | NotSent | SentUnanswered:
-        """Call and return the whole answer, or how far the call came.
+        """Send a request; return the complete response, or how far the call got.
 
-        ``timeout_s`` is for the whole answer. With ``stall_timeout_s`` it is for the answer's
-        beginning, and the body may take longer as long as no ``stall_timeout_s`` pass without a
-        part of it: how long a large body takes depends on the link, and one that is cut
-        off and asked for again never comes to its end.
+        ``timeout_s`` limits the time to the complete response. With
+        ``stall_timeout_s`` it limits only the time to the response's headers; the body
+        may take longer if no two of its chunks are further apart than
+        ``stall_timeout_s``. How long a large body takes depends on the link, and one
+        that is cancelled and requested again would never complete.
         A body of more than ``max_bytes`` is not read: ``AnswerTooLarge``.
-        A request with a body that has not left within ``send_within_s``, because no
-        connection was there, never leaves: ``NotSent``.
+        A request with a body that gets no connection within ``send_within_s`` is
+        never sent: ``NotSent``.
         """
         opened = await self._open(
             method, url, body, headers, timeout_s, send_within_s=send_within_s
--- a/src/firladder/_internal/platform/__init__.py
+++ b/src/firladder/_internal/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls. Nothing here decides."""
+"""Adapters to the users' platform: names, formats and calls, no decisions."""
--- a/src/firladder/_internal/platform/configuration.py
+++ b/src/firladder/_internal/platform/configuration.py
@@ -16,7 +16,7 @@
     name: str
     hostname: str
     prefix: str
-    # Names a pool of workers, not a host.
+    # The name of a pool of workers, not of a host.
     backend: str
     public: bool = False
     priority: int = 0
@@ -51,7 +51,7 @@
 
 
 def decode_configuration(value: bytes) -> QueueConfiguration | MalformedBody:
-    """Return the configuration, or why it cannot be read."""
+    """Return the decoded configuration, or why it cannot be decoded."""
     wire = decode_json(value, _Configuration)
     if isinstance(wire, MalformedBody):
         return wire
--- a/src/firladder/_internal/platform/discovery.py
+++ b/src/firladder/_internal/platform/discovery.py
@@ -1,4 +1,4 @@
-"""Decode the entries under which workers register themselves."""
+"""Decode the entries with which workers register themselves."""
 
 import msgspec
 
@@ -19,19 +19,19 @@
 
 
 class _WorkerRecord(msgspec.Struct):
-    # The pool's name; `backend` names no single host here.
+    # The name of a pool of workers, not of a host.
     backend: str
     address: str
     zone: str
     state: str
     capacity: _Capacity
     labels: list[str] = []
-    # Only while draining: the least time until the worker is gone.
+    # Set only while draining: the minimum time until the worker leaves.
     remaining_ms: float | None = None
 
 
 def decode_worker(key: str, value: bytes) -> WorkerEntry | MalformedBody:
-    """Return a worker's entry, or why it names no usable worker."""
+    """Return a worker's entry, or why it describes no usable worker."""
     wire = decode_json(value, _WorkerRecord)
     if isinstance(wire, MalformedBody):
         return wire
@@ -40,7 +40,7 @@
     host, _, port = wire.address.rpartition(":")
     if not host or not port.isdigit():
         return MalformedBody(reason="must be ip:port", field="address")
-    left = wire.remaining_ms
+    remaining_ms = wire.remaining_ms
     return WorkerEntry(
         worker_id=key.removeprefix(WORKER_PREFIX),
         address=wire.address,
@@ -50,14 +50,14 @@
         labels=frozenset(wire.labels),
         rack=_find_rack(wire.labels),
         draining=wire.state == _DRAINING,
-        leaves_in_s=None if left is None else left / 1000,
+        leaves_in_s=None if remaining_ms is None else remaining_ms / 1000,
     )
 
 
 def _find_rack(labels: list[str]) -> str:
-    """Return the label that names a rack, or an empty text.
+    """Return the label that names a rack, or an empty string.
 
-    A worker has two labels, its kind and its rack; racks are written
+    A worker has two labels, its kind and its rack; a rack has the form
     ``r<room>-<number>``.
     """
     racks = [x for x in labels if x[:1] == "r" and "-" in x]
--- a/src/firladder/_internal/platform/evacuation.py
+++ b/src/firladder/_internal/platform/evacuation.py
@@ -1,11 +1,12 @@
-"""Decode the operators' requests to keep new work out of a failure domain."""
+"""Decode the operators' requests to evacuate a failure domain."""
 
 EVACUATION_PREFIX = "op/evacuate/"
 
 
 def decode_evacuated_domain(key: str) -> str:
-    """Return the failure domain that a request is for.
+    """Return the failure domain that an evacuation request names.
 
-    The request stands until its key is removed; its value says nothing.
+    The request applies until its key is removed; its value is ignored. No new work
+    is placed in an evacuated failure domain.
     """
     return key.removeprefix(EVACUATION_PREFIX)
--- a/src/firladder/_internal/platform/settings.py
+++ b/src/firladder/_internal/platform/settings.py
@@ -1,4 +1,4 @@
-"""Read the settings file that the platform lays out for each process."""
+"""Read the settings file that the platform provides for each process."""
 
 import dataclasses
 import tomllib
@@ -18,19 +18,20 @@
 
 
 class _Bounds(msgspec.Struct, frozen=True):
-    # The longest lease that a worker grants to what runs there.
+    # The longest lease that a worker grants to its runs.
     max_hold_ms: float = 10000
-    # For how long callers are told of a job that has ended.
+    # How long the status of an ended job stays available.
     status_s: float = 120
     reclaim_ms: float = 2700
-    # A stopped task has saved what it did: a stop costs these two.
+    # A task that is stopped saves its progress first, so that a stop costs only
+    # these two times.
     stop_grace_ms: float = 200
     restore_ms: float = 100
 
 
 class _Limits(msgspec.Struct, frozen=True):
     cpu_share: float = 1.0
-    # How many times as fast as the share alone the VM's processor is.
+    # Factor by which the VM's processor is faster than its share alone implies.
     cores: float = 1.0
     link_mbps: float = 1000.0
 
@@ -53,12 +54,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """The settings of an entry VM's process; times in seconds.
+    """The settings of a node's process.
 
-    ``peers`` are IP numbers of VMs that may know the fleet; ``peer_port`` is
-    where processes of the fleet listen for each other. ``restart_s`` is what a task
-    that saves its progress loses by a stop. ``processor_cores`` and
-    ``link_mbps`` are what the VM has of both.
+    ``peers`` are IP addresses of VMs that may be members of the fleet; ``peer_port``
+    is the port on which processes of the fleet listen for each other.
+    ``retention_s`` is how long the status of an ended job stays available.
+    ``restart_s`` is the time that a checkpointing task loses when it is stopped.
+    ``processor_cores`` and ``link_mbps`` are the VM's capacity.
     """
 
     vm: str
@@ -79,9 +81,9 @@
 
 
 def read_node_settings(path: str) -> NodeSettings:
-    """Return the checked settings; unknown fields are ignored.
+    """Return the validated settings; unknown fields are ignored.
 
-    Raises ``SettingError`` with the field's name and what would be right.
+    Raise ``SettingError`` with the field's name and what would be right.
     """
     try:
         raw = tomllib.loads(Path(path).read_text())
--- a/src/firladder/_internal/platform/store.py
+++ b/src/firladder/_internal/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value store: compare-and-swap, leases and watches."""
+"""Client of the platform's key-value store: transactions, leases, watches."""
 
 import base64
 import dataclasses
@@ -28,29 +28,29 @@
 logger = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 0.8
-"""Seconds for an answer; the store takes 4 ms, and 240 ms when it is slow."""
+"""Time for a response; the store takes 4 ms, and 240 ms when it is slow."""
 
 PAGE_START_TIMEOUT_S = 1.5
-"""Seconds until a page of a listing begins to arrive: the store takes up to 300 ms when
-it is slow, and the beginning may wait behind other answers on a small link."""
+"""Time until a page of a listing begins to arrive: a slow store takes up to 300 ms,
+and the page may queue behind other responses on a slow link."""
 
 STALL_TIMEOUT_S = 1.0
-"""Seconds without a part of a large answer after which it is given up. A page or a
-change may have a megabyte, which takes 1.7 s and more over a link of 5 Mbit/s."""
+"""Time between two chunks of a large response after which the call is aborted. A page
+or a change may have 1 MB, which takes 1.7 s and more over a link of 5 Mbit/s."""
 
 WATCH_MARGIN_S = 0.6
-"""Seconds beyond a watch's own waiting time before its connection counts as
-silent; a slow store answers within 240 ms."""
+"""Time added to a watch's own waiting time before its connection counts as dead;
+a slow store answers within 240 ms."""
 
 MAX_TRANSACTION_ENTRIES = 32
-"""Entries that one transaction may hold, comparisons included."""
+"""Comparisons, writes and removals that one transaction may hold together."""
 
 T = TypeVar("T")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Item:
-    """A stored value. ``revision`` is its last change; 0 says there is none."""
+    """A stored value and the revision of its last change, 0 if the key is absent."""
 
     key: str
     value: bytes
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listing:
-    """Items of a prefix; changes after ``revision`` are not in it for sure."""
+    """The items of a prefix; changes after ``revision`` may be missing."""
 
     items: tuple[Item, ...]
     revision: int
@@ -76,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """What happened since; go on from ``revision``."""
+    """The changes that a watch returned; the next watch starts at ``revision``."""
 
     changes: tuple[Change, ...]
     revision: int
@@ -84,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Write:
-    """A value to store; ``lease`` 0 keeps it for good."""
+    """A value to store; with ``lease`` 0 it never expires."""
 
     key: str
     value: bytes
@@ -93,12 +93,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """A comparison did not hold, nothing was written; the compared items."""
+    """The compared items of a transaction that failed and wrote nothing."""
 
     items: tuple[Item, ...]
 
     def find(self, key: str) -> Item | None:
-        """Return the item that stands under a compared key, if there is one."""
+        """Return the current item of a compared key, or None if it is absent."""
         return next((i for i in self.items if i.key == key and i.revision), None)
 
 
@@ -137,8 +137,8 @@
     try:
         return base64.b64decode(text or "", validate=True)
     except ValueError:
-        # Another writer's value need not be readable; it decodes to nothing
-        # and is left out where it is read.
+        # Other writers may store invalid values. They decode to empty bytes, which
+        # the readers skip.
         return b""
 
 
@@ -147,7 +147,7 @@
 
 
 class PlatformStore:
-    """Calls to the store; each failure says whether the call may have effect."""
+    """Call the store; each failure says whether the call may have had an effect."""
 
     def __init__(self, *, address: str, http: HttpClient, clock: Clock) -> None:
         """Call the store at ``address`` (``ip:port``)."""
@@ -162,7 +162,7 @@
         )
 
     def unreachable_s(self, now: float) -> float:
-        """Return for how long no call was answered; 0 if the last one was."""
+        """Return the time since the store became unreachable; 0 if it is reachable."""
         return 0.0 if self.reachable else now - self._unreachable_since
 
     async def read_item(
@@ -180,7 +180,7 @@
     async def read_range(
         self, prefix: str
     ) -> Listing | StoreUnavailable | StoreUncertain:
-        """Return all items under ``prefix``, page by page."""
+        """Return all items under ``prefix``, read page by page."""
         items: list[Item] = []
         revision: int | None = None
         query = {"prefix": prefix}
@@ -198,8 +198,8 @@
             if not isinstance(page, _Range):
                 return page
             items += map(_convert, page.items)
-            # Pages are no snapshot: whoever goes on from the first page's
-            # revision sees again what changed between the pages.
+            # Pages are not one snapshot. A watch from the first page's revision
+            # returns all changes that were made between the pages.
             revision = page.at if revision is None else revision
             if not page.has_more or not page.items:
                 return Listing(tuple(items), revision)
@@ -213,9 +213,9 @@
         wait_s: float,
         max_bytes: int = MAX_RESPONSE_BYTES,
     ) -> Changes | HistoryLost | StoreUnavailable | StoreUncertain:
-        """Return the changes after a revision, waiting for the first.
+        """Return the changes after a revision, waiting up to ``wait_s`` for the first.
 
-        If they take more than ``max_bytes``, they are not read: ``HistoryLost``.
+        Changes of more than ``max_bytes`` are not read: ``HistoryLost``.
         """
         query = {
             "prefix": prefix,
@@ -253,10 +253,10 @@
         remove: Sequence[str] = (),
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> int | Conflict | LeaseEnded | StoreUnavailable | StoreUncertain:
-        """Write all or nothing if each key has the revision expected of it.
+        """Write all or nothing, provided that each key has its expected revision.
 
-        Return the new revision. After ``StoreUncertain`` the write may be there,
-        or may come seconds later if the comparison still holds then.
+        Return the new revision. After ``StoreUncertain`` the transaction may have been
+        applied, or may be applied seconds later if the comparisons still hold then.
         """
         body = {
             "expected": [{"key": k, "revision": r} for k, r in expected],
@@ -288,7 +288,7 @@
     async def grant_lease(
         self, ttl_s: float
     ) -> int | StoreUnavailable | StoreUncertain:
-        """Return a new lease that ends ``ttl_s`` after its last renewal."""
+        """Return a new lease that expires ``ttl_s`` after its last renewal."""
         body = encode_json({"ttl_ms": int(ttl_s * 1000)})
         answer = await self._call("POST", "/-/kv-lease", body=body)
         if not isinstance(answer, HttpResponse):
@@ -299,7 +299,7 @@
     async def renew_lease(
         self, lease: int, *, timeout_s: float
     ) -> None | LeaseEnded | StoreUnavailable | StoreUncertain:
-        """Renew a lease; None says it was done."""
+        """Renew a lease; return None on success."""
         answer = await self._call("POST", f"/-/kv-keep/{lease}", timeout_s=timeout_s)
         if not isinstance(answer, HttpResponse):
             return answer
@@ -310,11 +310,11 @@
         return StoreUncertain(reason=f"unexpected status {answer.status}")
 
     async def end_lease(self, lease: int) -> StoreConflict | None:
-        """End a lease; its keys go at once. A failure leaves it to its time."""
+        """Revoke a lease and remove its keys; after a failure it expires by itself."""
         answer = await self._call("DELETE", f"/-/kv-lease-end/{lease}")
         if isinstance(answer, HttpResponse) and answer.status in (200, 204, 404):
             return None
-        return StoreConflict(reason=f"lease not ended: {answer}")
+        return StoreConflict(reason=f"cannot revoke the lease: {answer}")
 
     async def _call(
         self,
@@ -343,20 +343,20 @@
         if isinstance(answer, AnswerTooLarge):
             return StoreAnswerTooLarge(reason=answer.reason)
         if isinstance(answer, NotSent | SentUnanswered):
-            # What waits behind a large answer on a small link may run out of time.
-            # While that answer arrives, the store is not away.
+            # A call that queues behind a large response on a slow link may time out.
+            # As long as that response arrives, the store is reachable.
             if self._http.chunks_received == chunks_before:
                 self._mark_unreachable(answer.reason)
-                # Connections may have fallen silent for good. Tried one after the
-                # other, each idle one would cost a call its whole time.
+                # Idle connections may be dead without a reset. Each of them would
+                # cost one call its whole timeout.
                 self._http.drop_idle_connections()
             kind = StoreUnavailable if isinstance(answer, NotSent) else StoreUncertain
             return kind(reason=answer.reason)
         if answer.status in (429, 503):
-            # The store says that it did nothing.
-            turned_away = StoreUnavailable(reason=f"turned away: {answer.status}")
-            self._mark_unreachable(turned_away.reason)
-            return turned_away
+            # With these statuses the store guarantees that nothing was written.
+            refusal = StoreUnavailable(reason=f"refused with status {answer.status}")
+            self._mark_unreachable(refusal.reason)
+            return refusal
         if not self.reachable:
             self.reachable = True
             self.on_reachability_change(True, "")
@@ -372,10 +372,14 @@
         self, answer: HttpResponse, type_: type[T], *, status: int = 200
     ) -> T | StoreUncertain:
         if answer.status != status:
-            logger.warning("store answered %d: %r", answer.status, answer.body[:200])
+            logger.warning(
+                "unexpected status %d from the store: %r",
+                answer.status,
+                answer.body[:200],
+            )
             return StoreUncertain(reason=f"unexpected status {answer.status}")
         try:
             return msgspec.json.decode(answer.body, type=type_)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            logger.warning("store's answer cannot be read: %s", error)
-            return StoreUncertain(reason=f"unreadable answer: {error}")
+            logger.warning("cannot decode the store's response: %s", error)
+            return StoreUncertain(reason=f"cannot decode response: {error}")
--- a/src/firladder/_internal/platform/submissions.py
+++ b/src/firladder/_internal/platform/submissions.py
@@ -7,14 +7,14 @@
 from ..utils.codec import decode_json
 
 MAX_PAYLOAD_BYTES = 4000
-"""Bytes of the opaque text that a job may carry to its tasks."""
+"""Size of the opaque text that a job passes to its tasks."""
 
 MAX_TASKS = 10_000
-"""Tasks of one job over all occurrences; its record stays below a megabyte."""
+"""Tasks of one job over all occurrences; keeps its record below 1 MB."""
 
 
 class _Step(msgspec.Struct):
-    # gpu counts whole accelerators; cpu is in thousandths of a core.
+    # gpu is in whole accelerators, cpu in thousandths of a core.
     count: int = 0
     cpu: int = 0
     mem_mb: int = 0
@@ -30,28 +30,28 @@
     max_per_server: int = 0
     allow_duplicates: bool = False
     long_running: bool = False
-    # The cpu of such a step is not counted against a worker's capacity.
+    # The cpu of such a step doesn't count against the worker's capacity.
     fills: bool = False
 
 
 class _Submission(msgspec.Struct):
-    # spec is opaque text for the tasks; it specifies nothing to a scheduler.
+    # Opaque text for the tasks, not a specification of the job.
     spec: str = ""
     steps: list[_Step] = []
-    # How often the steps run; 0 stands for once, at once.
+    # How often the steps run; 0 means once, immediately.
     times: int = 0
     first_ms: float = 0
     interval_ms: float = 0
 
 
 def decode_submission(body: bytes) -> Workload | MalformedBody | InvalidValue:
-    """Return the job of a submission, or why it is none."""
+    """Return the job that a submission describes, or why it is invalid."""
     wire = decode_json(body, _Submission)
     if isinstance(wire, MalformedBody):
         return wire
-    problem = _validate(wire)
-    if problem is not None:
-        return problem
+    invalid = _validate(wire)
+    if invalid is not None:
+        return invalid
     return Workload(
         wire.spec,
         tuple(map(_convert_step, wire.steps)),
@@ -72,10 +72,14 @@
     for number, step in enumerate(wire.steps):
         amounts = (step.count - 1, step.cpu, step.mem_mb, step.gpu, step.estimate_ms)
         if min(amounts) < 0:
-            return InvalidValue(reason="a negative amount", field=f"steps[{number}]")
+            return InvalidValue(
+                reason="count must be at least 1, other amounts at least 0",
+                field=f"steps[{number}]",
+            )
         if not all(0 <= earlier < number for earlier in step.after):
             return InvalidValue(
-                reason="must number earlier steps", field=f"steps[{number}].after"
+                reason="must be indexes of earlier steps",
+                field=f"steps[{number}].after",
             )
     return None
 
--- a/src/firladder/_internal/platform/workers.py
+++ b/src/firladder/_internal/platform/workers.py
@@ -1,4 +1,4 @@
-"""Calls to workers: start, stop, and look at what runs."""
+"""Calls to workers: start and stop runs, and poll their state."""
 
 import logging
 from typing import Any, cast
@@ -29,7 +29,7 @@
 logger = logging.getLogger(__name__)
 
 MAX_WAIT_S = 2.0
-"""Seconds that a worker waits at most for an end before it answers a look."""
+"""Time that a worker waits at most for a run to end before it answers a poll."""
 
 _REJECTIONS: dict[str, Rejection] = {
     "fence": "fenced",
@@ -47,19 +47,19 @@
 
 class _PollReply(msgspec.Struct):
     clock_ms: float
-    # Rows: task, run, checkpoint, per cent, and a usage figure that may lack.
+    # Rows: task, run, checkpoint, progress in per cent, usage (optional).
     running: list[list[Any]] = []
-    # Rows: number, task, run, how it ended, checkpoint.
+    # Rows: sequence number, task, run, ending, checkpoint.
     ended: list[list[Any]] = []
 
 
 def format_task(task: TaskId) -> str:
-    """Return a task's name on the wire."""
+    """Return a task's wire name."""
     return f"{task.job_id}.{task.occurrence}.{task.step}.{task.index}"
 
 
 def parse_task(name: str) -> TaskId | None:
-    """Return the task of a name, or None for a name that is not ours."""
+    """Return the task with a wire name, or None if the name has another form."""
     parts = name.split(".")
     if len(parts) != 4 or not all(p.isdigit() for p in parts[1:]):
         return None
@@ -67,10 +67,10 @@
 
 
 class WorkerCalls:
-    """Calls to workers under one fencing token."""
+    """Send calls to workers under one fencing token."""
 
     def __init__(self, *, http: HttpClient, token: int) -> None:
-        """Send every order with ``token``."""
+        """Put ``token`` into every call."""
         self._http = http
         self.token = token
         self.calls = 0
@@ -83,11 +83,11 @@
         send_within_s: float,
         timeout_s: float,
     ) -> float | OrderFailure:
-        """Begin a task; return the worker's clock in seconds.
+        """Start a run; return the worker's clock in seconds.
 
-        ``deadline_s`` is the time on that clock until which all that runs on
-        the worker may go on. The answer is awaited for ``timeout_s``; an order that
-        finds no connection ``send_within_s`` seconds long is not sent.
+        ``deadline_s`` is the time on that clock at which the lease of all runs on
+        the worker expires. The response may take ``timeout_s``; an order that
+        gets no connection within ``send_within_s`` is not sent.
         """
         body: dict[str, Any] = {
             "task": format_task(order.task),
@@ -103,7 +103,7 @@
     async def stop(
         self, order: StopOrder, *, send_within_s: float, timeout_s: float
     ) -> float | OrderFailure:
-        """End a run; a run that is not there is rejected when it comes later."""
+        """Stop a run; if the worker doesn't know it, it rejects a later start of it."""
         body = {
             "task": format_task(order.task),
             "run": order.run,
@@ -121,10 +121,10 @@
         wait_s: float,
         timeout_s: float,
     ) -> WorkerReport | OrderFailure:
-        """Report all runs and ends, waiting ``wait_s`` for an end.
+        """Return all active and ended runs, waiting up to ``wait_s`` for an end.
 
-        Ends up to ``acknowledged`` are forgotten by the worker. A ``deadline_s``
-        on the worker's clock lengthens the lease of all that runs there.
+        The worker discards ended runs up to sequence number ``acknowledged``. A
+        ``deadline_s`` on the worker's clock extends the lease of all runs there.
         """
         body: dict[str, Any] = {"fencing_token": self.token, "last_seen": acknowledged}
         if deadline_s is not None:
@@ -142,8 +142,8 @@
                 tuple(filter(None, map(_convert_ended, wire.ended))),
             )
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
-            logger.warning("worker %s: unreadable report: %s", worker_id, error)
-            return SentUnanswered(reason=f"unreadable report: {error}")
+            logger.warning("worker %s: cannot decode report: %s", worker_id, error)
+            return SentUnanswered(reason=f"cannot decode report: {error}")
 
     async def _order(
         self,
@@ -166,8 +166,10 @@
         try:
             return msgspec.json.decode(answer.body, type=_OrderReply).clock_ms / 1000
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            logger.warning("worker %s: unreadable answer: %s", order.worker_id, error)
-            return SentUnanswered(reason=f"unreadable answer: {error}")
+            logger.warning(
+                "worker %s: cannot decode response: %s", order.worker_id, error
+            )
+            return SentUnanswered(reason=f"cannot decode response: {error}")
 
     async def _call(
         self,
@@ -199,16 +201,16 @@
     if answer.status == 421:
         return WorkerReplaced(reason="another incarnation answers at this address")
     if answer.status in (429, 503):
-        return WorkerRefused(reason=f"turned away: {answer.status}")
+        return WorkerRefused(reason=f"refused with status {answer.status}")
     try:
         reason = msgspec.json.decode(answer.body, type=_OrderReply).reason
     except (msgspec.DecodeError, UnicodeDecodeError):
         reason = ""
-    why = _REJECTIONS.get(reason, "other")
-    if answer.status == 409 and why == "fenced":
-        return FencedOff(reason="a higher fencing token is known there")
+    rejection = _REJECTIONS.get(reason, "other")
+    if answer.status == 409 and rejection == "fenced":
+        return FencedOff(reason="the worker knows a higher fencing token")
     if answer.status in (400, 404, 409):
-        return OrderRejected(reason=f"{answer.status} {reason}", rejection=why)
+        return OrderRejected(reason=f"{answer.status} {reason}", rejection=rejection)
     return SentUnanswered(reason=f"unexpected status {answer.status}")
 
 
