--- a/src/firladder/_internal/etcd/__init__.py
+++ b/src/firladder/_internal/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of a small site's outside systems, one narrow interface each."""
+"""Clients of the systems that a small site runs: etcd, targets and workers."""
--- a/src/firladder/_internal/etcd/inventory.py
+++ b/src/firladder/_internal/etcd/inventory.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of VMs, kept under one prefix of the store."""
+"""The platform's list of VMs, which is stored under one prefix and may lag."""
 
 import logging
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 class Inventory:
-    """The VMs as last heard of; kept through an outage."""
+    """The VMs as last read from the store; kept during an outage."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -22,9 +22,9 @@
         self.loaded = False
 
     def replace(self, entries: dict[str, Entry]) -> None:
-        """Adopt a new state of the list."""
+        """Replace the list by the VMs that the entries describe."""
         self.loaded = True
-        self.machines = {m.name: m for m in _read_machines(entries.values())}
+        self.machines = {m.name: m for m in _decode_machines(entries.values())}
 
     def list_role(self, role: Role, failure_domain: str = "") -> list[Machine]:
         """Return the VMs of a role, of one failure domain or of all."""
@@ -35,10 +35,10 @@
         ]
 
 
-def _read_machines(entries: Iterable[Entry]) -> Iterable[Machine]:
+def _decode_machines(entries: Iterable[Entry]) -> Iterable[Machine]:
     for entry in entries:
         try:
             yield msgspec.json.decode(entry.value, type=Machine)
         except msgspec.DecodeError as error:
-            # One malformed row must not hide the rest of the fleet.
-            logger.warning("dropped row %s: %s", entry.key, error)
+            # One invalid entry must not hide the rest of the fleet.
+            logger.warning("skipped invalid VM entry %s: %s", entry.key, error)
--- a/src/firladder/_internal/etcd/mirror.py
+++ b/src/firladder/_internal/etcd/mirror.py
@@ -1,4 +1,4 @@
-"""Keep a copy of a prefix of the store, through outages."""
+"""Keep a local copy of a prefix of the store, also during outages."""
 
 import asyncio
 import random
@@ -8,16 +8,16 @@
 from ..models.entry import Entry
 from .store import StoreClient
 
-RETRY_MIN_S = 0.2
-RETRY_MAX_S = 3.0
-"""Bounds of the pause between tries; jitter spreads the fleet's return after
-an outage, which would otherwise meet the store as one burst of reads."""
+MIN_RETRY_PAUSE_S = 0.2
+MAX_RETRY_PAUSE_S = 3.0
+"""Bounds of the backoff. Its jitter spreads the fleet's reads after an outage, which
+would otherwise reach the store as one burst."""
 
 OnChange = Callable[[dict[str, Entry]], None]
 
 
 class PrefixMirror:
-    """A local copy that lags the store but is never mixed from two revisions."""
+    """A local copy that may lag the store but never mixes two revisions."""
 
     def __init__(
         self,
@@ -26,14 +26,14 @@
         prefix: str,
         on_change: OnChange,
         rng: random.Random,
-        follow_back: bool = False,
+        allow_rollback: bool = False,
     ) -> None:
         """Call ``on_change`` with all entries after every change.
 
-        With ``follow_back`` a store that was restored from an old copy is
-        followed too; the listener then has to tell old from new by itself.
+        With ``allow_rollback`` a store that was restored from an old backup is
+        mirrored too; ``on_change`` then has to detect old entries by itself.
         """
-        self._follow_back = follow_back
+        self._allow_rollback = allow_rollback
         self._store = store
         self._prefix = prefix
         self._on_change = on_change
@@ -43,22 +43,22 @@
         self.loaded = asyncio.Event()
 
     async def run(self) -> None:
-        """Load and follow the prefix until cancelled."""
-        pause_s = RETRY_MIN_S
+        """Load the prefix and watch it until cancelled."""
+        pause_s = MIN_RETRY_PAUSE_S
         while True:
             if await self._load():
-                pause_s = RETRY_MIN_S
-                await self._follow()
+                pause_s = MIN_RETRY_PAUSE_S
+                await self._watch()
             else:
-                pause_s = min(RETRY_MAX_S, pause_s * 2)
+                pause_s = min(MAX_RETRY_PAUSE_S, pause_s * 2)
             await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.0))
 
     async def _load(self) -> bool:
         found = await self._store.range(self._prefix)
         if isinstance(found, StoreUnavailable | StoreUncertain):
             return False
-        if found.revision < self.revision and not self._follow_back:
-            # A store restored from an old copy would take the fleet back to a
+        if found.revision < self.revision and not self._allow_rollback:
+            # A store restored from an old backup would return the fleet to a
             # configuration that operators were told is superseded.
             return False
         self.revision = found.revision
@@ -69,13 +69,13 @@
         self.loaded.set()
         return True
 
-    async def _follow(self) -> None:
+    async def _watch(self) -> None:
         async for revision, changed in self._store.watch(
             self._prefix, after=self.revision
         ):
             if revision < self.revision:
-                # A restored store counts from its copy's revision on: a watch
-                # from a later one stays open and silent until it gets there.
+                # A restored store continues from its backup's revision. A watch
+                # from a later revision would get no events until that is reached.
                 return
             self.revision = revision
             if not changed:
--- a/src/firladder/_internal/etcd/store.py
+++ b/src/firladder/_internal/etcd/store.py
@@ -1,9 +1,9 @@
 """Client of the platform's key-value service.
 
-The service speaks the JSON form of the etcd v3 interface (keys and values in
-base64, 64-bit numbers as strings). Every call returns its result or one of
-``StoreUnavailable`` (no effect), ``StoreUncertain`` (may have had effect) and
-``StoreConflict`` (a comparison failed: no effect).
+The service offers the etcd v3 API as JSON (keys and values in base64, 64-bit
+numbers as strings). Every call returns its result or one of ``StoreUnavailable``
+(no effect), ``StoreUncertain`` (may have had an effect) and ``StoreConflict`` (a
+comparison failed: no effect).
 """
 
 import asyncio
@@ -27,17 +27,17 @@
 from ..utils.codec import encode_json
 
 CALL_TIMEOUT_S = 2.0
-"""Seconds for one call; the store answers in milliseconds when it is well."""
+"""Time for one call; a healthy store answers in milliseconds."""
 
-WATCH_SILENCE_S = 2.5
-"""Seconds without an event or a progress note after which a watch is dead:
-two notes and the time of one on its way."""
+WATCH_TIMEOUT_S = 2.5
+"""Time without an event or a progress notification after which a watch counts as
+dead: two notification periods and the delay of one."""
 
 STALL_TIMEOUT_S = 1.0
-"""Seconds without a part of a listing after which it is given up. It may hold a
-configuration of a megabyte, which takes long over a small link."""
+"""Time between two chunks of a listing after which the call is aborted. A listing may
+hold a configuration of 1 MB, which takes long over a slow link."""
 
-Lost = StoreUnavailable | StoreUncertain
+StoreFailure = StoreUnavailable | StoreUncertain
 
 
 class KeyValue(msgspec.Struct):
@@ -50,61 +50,61 @@
 
 
 class Header(msgspec.Struct):
-    """The part of each answer that carries the store's revision."""
+    """The part of each response that carries the store's revision."""
 
     revision: str = "0"
 
 
-class RangeAnswer(msgspec.Struct):
-    """Answer to a range call."""
+class RangeResponse(msgspec.Struct):
+    """Response to a range call."""
 
     header: Header
     kvs: list[KeyValue] = []
 
 
-class TxnAnswer(msgspec.Struct):
-    """Answer to a transaction."""
+class TxnResponse(msgspec.Struct):
+    """Response to a transaction."""
 
     header: Header
     succeeded: bool = False
 
 
-class LeaseAnswer(msgspec.Struct):
-    """Answer to a grant."""
+class LeaseGrantResponse(msgspec.Struct):
+    """Response to the grant of a lease."""
 
     ID: str
     TTL: str
 
 
 class KeepAliveResult(msgspec.Struct):
-    """The inner part of a keep-alive answer; ``TTL`` 0 means expired."""
+    """The inner part of a keep-alive response; ``TTL`` 0 means expired."""
 
     ID: str = "0"
     TTL: str = "0"
 
 
-class KeepAliveAnswer(msgspec.Struct):
-    """Answer to a keep-alive."""
+class KeepAliveResponse(msgspec.Struct):
+    """Response to a keep-alive."""
 
     result: KeepAliveResult
 
 
 class WatchEvent(msgspec.Struct):
-    """One change in a watch answer."""
+    """One change in a watch response."""
 
     kv: KeyValue
     type: str = "PUT"
 
 
 class WatchResult(msgspec.Struct):
-    """The inner part of a watch answer."""
+    """The inner part of a watch response."""
 
     header: Header
     events: list[WatchEvent] = []
     canceled: bool = False
 
 
-class WatchAnswer(msgspec.Struct):
+class WatchResponse(msgspec.Struct):
     """One line of a watch stream."""
 
     result: WatchResult
@@ -115,7 +115,7 @@
     return base64.b64encode(raw).decode()
 
 
-def _read_entry(kv: KeyValue, *, deleted: bool = False) -> Entry:
+def _decode_entry(kv: KeyValue, *, deleted: bool = False) -> Entry:
     return Entry(
         base64.b64decode(kv.key).decode(),
         base64.b64decode(kv.value),
@@ -124,16 +124,16 @@
     )
 
 
-def end_of_prefix(prefix: str) -> str:
-    """Return the first key after all keys that begin with ``prefix``."""
+def compute_range_end(prefix: str) -> str:
+    """Return the first key after all keys that start with ``prefix``."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
 class StoreClient:
-    """Calls to the store, from one process."""
+    """Call the store from one process."""
 
     def __init__(self, *, url: str, http: HttpClient) -> None:
-        """Talk to the service at ``url`` (``http://ip:port``)."""
+        """Call the service at ``url`` (``http://ip:port``)."""
         self._url = url.rstrip("/")
         self._http = http
         self.calls = 0
@@ -146,7 +146,7 @@
         *,
         timeout_s: float = CALL_TIMEOUT_S,
         stall_timeout_s: float | None = None,
-    ) -> HttpResponse | Lost:
+    ) -> HttpResponse | StoreFailure:
         self.calls += 1
         answer = await self._http.call(
             "POST",
@@ -167,26 +167,29 @@
             return StoreUnavailable(reason=answer.reason)
         return StoreUncertain(reason=answer.reason)
 
-    async def range(self, prefix: str) -> Snapshot | Lost:
-        """Return all entries whose keys begin with ``prefix``."""
+    async def range(self, prefix: str) -> Snapshot | StoreFailure:
+        """Return all entries whose keys start with ``prefix``."""
         return await self._range(
-            {"key": _to_base64(prefix), "range_end": _to_base64(end_of_prefix(prefix))}
+            {
+                "key": _to_base64(prefix),
+                "range_end": _to_base64(compute_range_end(prefix)),
+            }
         )
 
-    async def get(self, key: str) -> Entry | None | Lost:
-        """Return one entry, or None if there is no such key."""
+    async def get(self, key: str) -> Entry | None | StoreFailure:
+        """Return the entry of a key, or None if it is absent."""
         found = await self._range({"key": _to_base64(key)})
         if not isinstance(found, Snapshot):
             return found
         return found.entries[0] if found.entries else None
 
-    async def _range(self, body: dict[str, Any]) -> Snapshot | Lost:
+    async def _range(self, body: dict[str, Any]) -> Snapshot | StoreFailure:
         answer = await self._call("/v3/kv/range", body, stall_timeout_s=STALL_TIMEOUT_S)
         if not isinstance(answer, HttpResponse):
             return answer
-        parsed = msgspec.json.decode(answer.body, type=RangeAnswer)
+        parsed = msgspec.json.decode(answer.body, type=RangeResponse)
         return Snapshot(
-            int(parsed.header.revision), tuple(_read_entry(kv) for kv in parsed.kvs)
+            int(parsed.header.revision), tuple(_decode_entry(kv) for kv in parsed.kvs)
         )
 
     async def commit(
@@ -195,8 +198,8 @@
         changes: Iterable[Put | Delete],
         *,
         timeout_s: float = CALL_TIMEOUT_S,
-    ) -> Committed | StoreConflict | Lost:
-        """Make all changes if all comparisons hold, else none."""
+    ) -> Committed | StoreConflict | StoreFailure:
+        """Apply all changes if all comparisons hold, else none."""
         body = {
             "compare": [
                 {
@@ -212,39 +215,41 @@
         answer = await self._call("/v3/kv/txn", body, timeout_s=timeout_s)
         if not isinstance(answer, HttpResponse):
             return answer
-        parsed = msgspec.json.decode(answer.body, type=TxnAnswer)
+        parsed = msgspec.json.decode(answer.body, type=TxnResponse)
         if not parsed.succeeded:
             return StoreConflict(reason="a comparison did not hold")
         return Committed(int(parsed.header.revision))
 
     async def grant_lease(
         self, ttl_s: int, *, timeout_s: float = CALL_TIMEOUT_S
-    ) -> Lease | Lost:
+    ) -> Lease | StoreFailure:
         """Return a new lease of about ``ttl_s`` seconds."""
         answer = await self._call(
             "/v3/lease/grant", {"TTL": str(ttl_s)}, timeout_s=timeout_s
         )
         if not isinstance(answer, HttpResponse):
             return answer
-        parsed = msgspec.json.decode(answer.body, type=LeaseAnswer)
+        parsed = msgspec.json.decode(answer.body, type=LeaseGrantResponse)
         return Lease(int(parsed.ID), float(parsed.TTL))
 
     async def renew_lease(
         self, lease: Lease, *, timeout_s: float
-    ) -> Lease | StoreConflict | Lost:
-        """Renew; a conflict means that the lease has expired."""
+    ) -> Lease | StoreConflict | StoreFailure:
+        """Renew a lease; ``StoreConflict`` means that it has expired."""
         answer = await self._call(
             "/v3/lease/keepalive", {"ID": str(lease.id)}, timeout_s=timeout_s
         )
         if not isinstance(answer, HttpResponse):
             return answer
-        ttl_s = float(msgspec.json.decode(answer.body, type=KeepAliveAnswer).result.TTL)
+        ttl_s = float(
+            msgspec.json.decode(answer.body, type=KeepAliveResponse).result.TTL
+        )
         if ttl_s <= 0:
             return StoreConflict(reason="the lease has expired")
         return Lease(lease.id, ttl_s)
 
-    async def revoke_lease(self, lease: Lease) -> Lost | None:
-        """Give a lease up, with all keys bound to it."""
+    async def revoke_lease(self, lease: Lease) -> StoreFailure | None:
+        """Revoke a lease, which removes all keys bound to it."""
         answer = await self._call("/v3/lease/revoke", {"ID": str(lease.id)})
         return None if isinstance(answer, HttpResponse) else answer
 
@@ -253,14 +258,14 @@
     ) -> AsyncIterator[tuple[int, tuple[Entry, ...]]]:
         """Yield the changes of each revision above ``after``, in order.
 
-        Ends when the stream breaks, falls silent or has lost its place; the
-        caller then reads the prefix again.
+        Return when the stream ends, times out or is cancelled because its revision
+        was compacted; the caller then reads the prefix again.
         """
         self.calls += 1
         body = {
             "create_request": {
                 "key": _to_base64(prefix),
-                "range_end": _to_base64(end_of_prefix(prefix)),
+                "range_end": _to_base64(compute_range_end(prefix)),
                 "start_revision": str(after + 1),
                 "progress_notify": True,
             }
@@ -274,23 +279,23 @@
         iterator = aiter(lines)
         try:
             while True:
-                line = await asyncio.wait_for(anext(iterator), WATCH_SILENCE_S)
+                line = await asyncio.wait_for(anext(iterator), WATCH_TIMEOUT_S)
                 if not line.strip():
                     continue
-                result = msgspec.json.decode(line, type=WatchAnswer).result
+                result = msgspec.json.decode(line, type=WatchResponse).result
                 if result.canceled:
                     return
                 yield (
                     int(result.header.revision),
                     tuple(
-                        _read_entry(e.kv, deleted=e.type == "DELETE")
+                        _decode_entry(e.kv, deleted=e.type == "DELETE")
                         for e in result.events
                     ),
                 )
         except TimeoutError:
-            # A cut that drops packets shows as silence, not as an error: the
-            # configuration would stand still here while others move on, and
-            # status would call the store reachable as long as nobody writes.
+            # A partition that drops packets causes silence, not an error. Without
+            # the timeout this process would keep an old configuration, and report
+            # the store as reachable, until it writes.
             self.reachable = False
         except StopAsyncIteration:
             return
--- a/src/firladder/_internal/etcd/targets.py
+++ b/src/firladder/_internal/etcd/targets.py
@@ -1,4 +1,4 @@
-"""Client of the targets, which run callers' requests (HTTP and JSON)."""
+"""Client of the targets, which run clients' requests (HTTP and JSON)."""
 
 import msgspec
 
@@ -11,29 +11,29 @@
 
 
 class TargetHealth(msgspec.Struct, frozen=True):
-    """What a target says of itself."""
+    """The state that a target reports of itself."""
 
     state: str = "live"
 
 
 class TargetResponse(msgspec.Struct, frozen=True):
-    """A whole answer that belongs to the request it was given for."""
+    """A complete response that is known to belong to its request."""
 
     status: int
     body: bytes
 
 
 class TargetClient:
-    """Calls to targets, from one process."""
+    """Call targets from one process."""
 
     def __init__(self, *, source_ip: str) -> None:
-        """Keep one pool for requests that may be repeated, none for others."""
+        """Keep connections open for idempotent requests only."""
         self._pooled = HttpClient(max_idle_per_host=8, source_ip=source_ip)
-        # A target may close an idle connection in the very moment a request
-        # goes out on it. The caller of a request that must not run twice would
-        # then get "unknown" for nothing; a fresh connection costs one round
-        # trip and tells "refused" from "lost".
-        self._fresh = HttpClient(persistent=False, source_ip=source_ip)
+        # A target may close an idle connection just as a request is sent on it. The
+        # client of a request that must not run twice would then get "unknown"
+        # although it did not run. A new connection costs one round trip and
+        # distinguishes a refused request from a lost one.
+        self._unpooled = HttpClient(persistent=False, source_ip=source_ip)
 
     async def run(
         self,
@@ -45,8 +45,8 @@
         idempotent: bool,
         timeout_s: float,
     ) -> TargetResponse | NotSent | SentUnanswered:
-        """Send a request and return its own whole answer, or how far it came."""
-        http = self._pooled if idempotent else self._fresh
+        """Send a request; return its complete response, or how far the call got."""
+        http = self._pooled if idempotent else self._unpooled
         answer = await http.call(
             "POST",
             f"http://{address}/{service}",
@@ -57,15 +57,15 @@
         if not isinstance(answer, HttpResponse):
             return answer
         if answer.headers.get(REQUEST_ID_HEADER) != request_id:
-            # A target that mixes its answers up would show one athlete's plan
-            # to another's coach; the id it echoes tells them apart.
-            return SentUnanswered(reason="the answer belongs to another request")
+            # A target that mixes up its responses would send one client's result to
+            # another. The echoed id reveals that.
+            return SentUnanswered(reason="the response belongs to another request")
         if answer.status == 503 and answer.headers.get("x-not-run") == "1":
             return NotSent(reason="the target refused the request")
         return TargetResponse(answer.status, answer.body)
 
     async def check(self, address: str) -> TargetHealth | NotSent | SentUnanswered:
-        """Ask a target whether it is leaving."""
+        """Return the state of a target, which says whether it is leaving."""
         answer = await self._pooled.call(
             "GET", f"http://{address}/health", timeout_s=HEALTH_TIMEOUT_S
         )
@@ -74,9 +74,9 @@
         try:
             return msgspec.json.decode(answer.body, type=TargetHealth)
         except msgspec.DecodeError as error:
-            return SentUnanswered(reason=f"malformed answer: {error}")
+            return SentUnanswered(reason=f"cannot decode response: {error}")
 
     async def close(self) -> None:
         """Close idle connections."""
         await self._pooled.close()
-        await self._fresh.close()
+        await self._unpooled.close()
--- a/src/firladder/_internal/etcd/workers.py
+++ b/src/firladder/_internal/etcd/workers.py
@@ -20,32 +20,32 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S = 1.0
-"""Seconds for a command; a worker answers in milliseconds."""
+"""Time for a command; a worker answers in milliseconds."""
 
 WorkerFailure = WorkerUnreachable | FencedOff
 
 
 class WorkerClient:
-    """Commands to workers, each under the leader's epoch."""
+    """Send commands to workers, each under the leader's epoch."""
 
     def __init__(self, *, http: HttpClient) -> None:
-        """Share one pool of connections among all workers."""
+        """Share the connection pool of ``http`` among all workers."""
         self._http = http
 
     async def claim(self, address: str, epoch: int) -> TaskReport | WorkerFailure:
-        """Fence lower epochs off, and return all tasks of the worker."""
+        """Fence off lower epochs; return all tasks of the worker."""
         return await self._post(address, "/claim", ClaimWorker(epoch), TaskReport)
 
     async def reserve(
         self, address: str, req: ReserveTask
     ) -> TaskStatus | WorkerFailure:
-        """Hold accelerators for a task."""
+        """Reserve accelerators for a task."""
         return await self._post(address, "/tasks", req, TaskStatus)
 
     async def start(
         self, address: str, task: str, epoch: int
     ) -> TaskStatus | WorkerFailure:
-        """Run a held task."""
+        """Start a task whose accelerators are reserved."""
         return await self._post(
             address, f"/tasks/{task}/start", StartTask(epoch), TaskStatus
         )
@@ -53,13 +53,13 @@
     async def stop(
         self, address: str, task: str, req: StopTask
     ) -> TaskStatus | WorkerFailure:
-        """End a task."""
+        """Stop a task."""
         return await self._post(address, f"/tasks/{task}/stop", req, TaskStatus)
 
     async def checkpoint(
         self, address: str, task: str, epoch: int
     ) -> TaskStatus | WorkerFailure:
-        """Save a task's progress, so that its job can go on elsewhere."""
+        """Save a task's progress, so that its job can continue elsewhere."""
         return await self._post(
             address, f"/tasks/{task}/checkpoint", StartTask(epoch), TaskStatus
         )
@@ -71,13 +71,13 @@
     async def follow(
         self, address: str, *, since: int, wait_s: float
     ) -> TaskReport | WorkerFailure:
-        """Return the tasks that changed after ``since``, waiting for a change."""
+        """Return the tasks that changed after ``since``, waiting up to ``wait_s``."""
         answer = await self._http.call(
             "GET",
             f"http://{address}/tasks?since={since}&wait_s={wait_s}",
             timeout_s=wait_s + CALL_TIMEOUT_S,
         )
-        return _read(answer, TaskReport)
+        return _decode(answer, TaskReport)
 
     async def _post(
         self, address: str, path: str, req: msgspec.Struct, type_: type[T]
@@ -88,10 +88,10 @@
             body=encode_json(req),
             timeout_s=CALL_TIMEOUT_S,
         )
-        return _read(answer, type_)
+        return _decode(answer, type_)
 
 
-def _read(answer: HttpResponse | object, type_: type[T]) -> T | WorkerFailure:
+def _decode(answer: HttpResponse | object, type_: type[T]) -> T | WorkerFailure:
     if not isinstance(answer, HttpResponse):
         sent = not isinstance(answer, NotSent)
         reason = getattr(answer, "reason", "")
@@ -103,4 +103,4 @@
     try:
         return msgspec.json.decode(answer.body, type=type_)
     except msgspec.DecodeError as error:
-        return WorkerUnreachable(reason=f"malformed answer: {error}")
+        return WorkerUnreachable(reason=f"cannot decode response: {error}")
--- a/src/firladder/_internal/fleet/process.py
+++ b/src/firladder/_internal/fleet/process.py
@@ -111,7 +111,7 @@
         )
 
     def mirror(
-        self, prefix: str, on_change: Any, *, follow_back: bool = False
+        self, prefix: str, on_change: Any, *, allow_rollback: bool = False
     ) -> PrefixMirror:
         """Return a mirror of a prefix of the store."""
         return PrefixMirror(
@@ -119,7 +119,7 @@
             prefix=prefix,
             on_change=on_change,
             rng=self.rng,
-            follow_back=follow_back,
+            allow_rollback=allow_rollback,
         )
 
     async def run(self) -> None:
@@ -131,12 +131,14 @@
         self.fabric.start()
         self.tasks.spawn(
             self.mirror(
-                CONFIGURATION_PREFIX, self.configuration.read_entries, follow_back=True
+                CONFIGURATION_PREFIX,
+                self.configuration.read_entries,
+                allow_rollback=True,
             ).run(),
             name="mirror-configuration",
         )
         self.tasks.spawn(
-            self.mirror(VM_PREFIX, self._adopt_machines, follow_back=True).run(),
+            self.mirror(VM_PREFIX, self._adopt_machines, allow_rollback=True).run(),
             name="mirror-vms",
         )
         self.tasks.spawn(self.membership.run(), name="membership")
