--- a/src/firladder/_internal/fleet/__init__.py
+++ b/src/firladder/_internal/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What every daemon shares: membership, configuration and life cycle."""
+"""Parts that all daemons share: membership, configuration and life cycle."""
--- a/src/firladder/_internal/fleet/configuration.py
+++ b/src/firladder/_internal/fleet/configuration.py
@@ -1,4 +1,4 @@
-"""Hold the configuration in force in this process; it only ever moves forward."""
+"""Hold the configuration in force in this process; its revision never decreases."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -25,7 +25,7 @@
 
 
 def encode_change(change: Change) -> Put | Delete:
-    """Return the store's form of one change."""
+    """Return the store operation for one change."""
     key = f"{PREFIX}{change.kind}/{change.name}"
     if bytes(change.value) == b"null":
         return Delete(key)
@@ -33,7 +33,7 @@
 
 
 def encode_parts(configuration: Configuration) -> list[Put]:
-    """Return the store's form of all parts of a configuration."""
+    """Return the store operations for all parts of a configuration."""
     return [
         Put(f"{PREFIX}{kind}/{name}", encode_json(value))
         for kind, field in KIND_FIELDS.items()
@@ -42,19 +42,19 @@
 
 
 def encode_head(head: ConfigurationHead) -> Put:
-    """Return the store's form of the head."""
+    """Return the store operation for the head."""
     return Put(HEAD_KEY, encode_json(head))
 
 
 def read_head(entry: Entry | None) -> ConfigurationHead:
-    """Return the head, which is revision 0 before the first change."""
+    """Return the head; its revision is 0 before the first change."""
     if entry is None:
         return ConfigurationHead(0, "")
     return msgspec.json.decode(entry.value, type=ConfigurationHead)
 
 
 def read_configuration(entries: Iterable[Entry]) -> Configuration:
-    """Return the configuration that the entries of one revision make up."""
+    """Return the configuration that the entries of one revision contain."""
     parts: dict[str, dict[str, bytes]] = {kind: {} for kind in KIND_FIELDS}
     revision = 0
     for entry in entries:
@@ -74,14 +74,14 @@
 
 
 class ConfigurationHolder:
-    """The configuration in force here, and who wants to hear of a new one.
+    """The configuration in force in this process, and the listeners for a new one.
 
-    ``loaded`` says that the store or a peer has told what is in force; before
-    that, revision 0 means "not known" and not "empty".
+    ``loaded`` is set once the store or a peer has supplied a configuration; before
+    that, revision 0 means "unknown", not "empty".
     """
 
     def __init__(self, timeline: Timeline) -> None:
-        """Begin with the empty configuration of revision 0."""
+        """Start with the empty configuration of revision 0."""
         self.current = Configuration()
         self.loaded = False
         self._stored_revision = 0
@@ -89,36 +89,36 @@
         self._listeners: list[Callable[[Configuration], None]] = []
 
     def listen(self, listener: Callable[[Configuration], None]) -> None:
-        """Call ``listener`` with every configuration adopted from now on."""
+        """Call ``listener`` with each configuration that is adopted from now on."""
         self._listeners.append(listener)
 
     def read_entries(self, entries: dict[str, Entry]) -> None:
-        """Adopt what the store holds, if it is newer."""
+        """Adopt the configuration in the store if it is newer."""
         try:
             stored = read_configuration(entries.values())
         except msgspec.DecodeError:
-            logger.exception("the store holds a configuration that cannot be read")
+            logger.exception("cannot decode the configuration in the store")
             return
         if stored.revision < self._stored_revision:
-            # The store was restored from an old copy. Nothing here goes back,
-            # but a process that starts now knows only the old configuration
-            # until it hears a peer, so operators must be told.
+            # The store was restored from an old backup. This process keeps its
+            # configuration, but one that starts now knows only the old one until it
+            # reaches a peer, so the operators must be told.
             self._timeline.record(
                 Event.CONFIGURATION_ROLLED_BACK,
                 stored=stored.revision,
                 in_force=self.current.revision,
             )
         self._stored_revision = stored.revision
-        # An adoption must come out behind its acceptance on the time line.
+        # The adoption must come after its acceptance on the time line.
         self._timeline.logical.merge(read_head(entries.get(HEAD_KEY)).clock)
         self.loaded = True
         self.adopt(stored, source="store")
 
     def adopt(self, fresh: Configuration, *, source: str) -> bool:
-        """Put a newer configuration in force; tell whether it was newer."""
+        """Adopt a newer configuration; return whether it was newer."""
         if fresh.revision <= self.current.revision:
-            # A peer that was cut off, or a watch that lags, offers an older
-            # revision; taking it would undo a change that operators were told
+            # A peer that was partitioned, or a watch that lags, offers an older
+            # revision. Adopting it would undo a change that operators were told
             # is accepted.
             return False
         self.current = fresh
--- a/src/firladder/_internal/fleet/membership.py
+++ b/src/firladder/_internal/fleet/membership.py
@@ -1,7 +1,7 @@
-"""Know the other processes of the fleet by heartbeats between them.
+"""Track the other processes of the fleet by heartbeats between them.
 
-No process is in charge of membership: each keeps its own table, which may
-differ from another's, and nothing that must be agreed on rests on it.
+Membership has no coordinator: each process keeps its own table, which may differ
+from another's, so nothing that needs agreement may depend on it.
 """
 
 import asyncio
@@ -32,14 +32,14 @@
 from ..utils.tasks import TaskSet
 from .configuration import ConfigurationHolder
 
-GOSSIPED_PEERS = 1
-"""Addresses passed on with each heartbeat, so that newcomers are found. Each
-process hears some ten heartbeats a period, so one address each is plenty."""
+GOSSIPED_ADDRESSES = 1
+"""Peer addresses passed on with each heartbeat, so that new processes are found. A
+process receives about 10 heartbeats per period, so one address each is enough."""
 
 
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """A process as last heard of and asked; times are monotonic seconds."""
+    """A process with the times of the last heartbeats from and to it (monotonic)."""
 
     heartbeat: Heartbeat
     heard_at: float
@@ -47,7 +47,7 @@
     lost: bool = False
 
     def view(self) -> PeerView:
-        """Return what a decision may look at."""
+        """Return the peer as the membership policy sees it."""
         me = self.heartbeat.identity
         return PeerView(
             me.address,
@@ -60,7 +60,7 @@
 
 
 class Membership:
-    """This process's own table of the fleet."""
+    """This process's table of the fleet."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         rng: random.Random,
         timeline: Timeline,
     ) -> None:
-        """Exchange ``describe()`` with peers every ``period_s``."""
+        """Send ``describe()`` to peers every ``period_s``."""
         self._fabric = fabric
         self._describe = describe
         self._configuration = configuration
@@ -85,14 +85,14 @@
         self._timeline = timeline
         self._tasks = TaskSet()
         self.peers: dict[str, Peer] = {}
-        self._rumoured: set[str] = set()
+        self._learned_addresses: set[str] = set()
         fabric.handle(Heartbeat, self._answer_heartbeat)
         fabric.handle(FetchConfiguration, self._answer_fetch)
 
     def list_peers(
         self, *, role: str = "", failure_domain: str = ""
     ) -> list[Heartbeat]:
-        """Return the peers that are alive, as they last described themselves."""
+        """Return the last heartbeats of the peers that are alive."""
         return [
             p.heartbeat
             for p in self.peers.values()
@@ -102,17 +102,17 @@
         ]
 
     def list_all(self) -> list[Peer]:
-        """Return all peers, the lost ones too."""
+        """Return all peers, lost ones included."""
         return list(self.peers.values())
 
     def find_newest_revision(self) -> int:
-        """Return the highest revision that any peer, lost ones too, has named."""
+        """Return the highest revision that any peer, lost or not, has reported."""
         return max((p.heartbeat.revision for p in self.peers.values()), default=0)
 
     def sample_addresses(self) -> tuple[str, ...]:
-        """Return a few peers' addresses to pass on."""
+        """Return addresses of random live peers to pass on."""
         alive = [a for a, p in self.peers.items() if not p.lost]
-        return tuple(self._rng.sample(alive, min(GOSSIPED_PEERS, len(alive))))
+        return tuple(self._rng.sample(alive, min(GOSSIPED_ADDRESSES, len(alive))))
 
     async def run(self) -> None:
         """Send heartbeats until cancelled."""
@@ -122,10 +122,12 @@
             for address in self._choose_contacts():
                 if address in self.peers:
                     self.peers[address].asked_at = started
-                self._tasks.spawn(self._greet(address, me), name="heartbeat")
+                self._tasks.spawn(
+                    self._exchange_heartbeats(address, me), name="heartbeat"
+                )
             await asyncio.sleep(self.period_s * self._rng.uniform(0.9, 1.1))
-            self._forgive_pause(self._clock.read_monotonic() - started)
-            self._note_silence()
+            self._discount_pause(self._clock.read_monotonic() - started)
+            self._mark_lost_peers()
             self._fabric.close_idle_links()
 
     def _view(self) -> FleetView:
@@ -139,29 +141,32 @@
         )
 
     def _choose_contacts(self) -> set[str]:
-        unknown_addresses = (set(self._seeds) | self._rumoured) - set(self.peers)
+        unknown_addresses = (set(self._seeds) | self._learned_addresses) - set(
+            self.peers
+        )
         own = {self._describe().identity.address}
         return choose_contacts(
             self._view(), unknown_addresses=unknown_addresses - own, rng=self._rng
         )
 
     def announce(self, *, role: str) -> None:
-        """Send a heartbeat to every living peer of a role now, out of turn."""
+        """Send a heartbeat to every live peer of a role now, outside the period."""
         me = self._describe()
-        for beat in self.list_peers(role=role):
+        for heartbeat in self.list_peers(role=role):
             self._tasks.spawn(
-                self._greet(beat.identity.address, me), name="announcement"
+                self._exchange_heartbeats(heartbeat.identity.address, me),
+                name="announcement",
             )
 
-    async def _greet(self, address: str, me: Heartbeat) -> None:
+    async def _exchange_heartbeats(self, address: str, me: Heartbeat) -> None:
         reply = await self._fabric.ask(
             address, me, timeout_s=self.period_s * SILENT_PERIODS / 2
         )
         if isinstance(reply, HeartbeatAck):
-            self._hear(reply.heartbeat)
+            self._update_peer(reply.heartbeat)
 
     async def _answer_heartbeat(self, body: Heartbeat) -> AnyBody:
-        self._hear(body)
+        self._update_peer(body)
         return HeartbeatAck(heartbeat=self._describe())
 
     async def _answer_fetch(self, body: FetchConfiguration) -> AnyBody:
@@ -169,24 +174,26 @@
         newer = current.revision > body.revision
         return ConfigurationReply(configuration=current if newer else None)
 
-    def _hear(self, beat: Heartbeat) -> None:
-        address = beat.identity.address
+    def _update_peer(self, heartbeat: Heartbeat) -> None:
+        address = heartbeat.identity.address
         known = self.peers.get(address)
-        if known is None or known.lost or _is_new_start(known.heartbeat, beat):
+        if known is None or known.lost or _has_restarted(known.heartbeat, heartbeat):
             self._timeline.record(
                 Event.PEER_JOINED,
-                peer=beat.identity.vm,
-                role=beat.identity.role,
-                domain=beat.identity.failure_domain,
+                peer=heartbeat.identity.vm,
+                role=heartbeat.identity.role,
+                domain=heartbeat.identity.failure_domain,
             )
         asked_at = known.asked_at if known else 0.0
-        self.peers[address] = Peer(beat, self._clock.read_monotonic(), asked_at)
-        self._rumoured.discard(address)
-        self._rumoured |= set(beat.peers) - set(self.peers)
-        if beat.revision > self._configuration.current.revision:
-            self._tasks.spawn(self._fetch(address), name="fetch-configuration")
+        self.peers[address] = Peer(heartbeat, self._clock.read_monotonic(), asked_at)
+        self._learned_addresses.discard(address)
+        self._learned_addresses |= set(heartbeat.peers) - set(self.peers)
+        if heartbeat.revision > self._configuration.current.revision:
+            self._tasks.spawn(
+                self._fetch_configuration(address), name="fetch-configuration"
+            )
 
-    async def _fetch(self, address: str) -> None:
+    async def _fetch_configuration(self, address: str) -> None:
         revision = self._configuration.current.revision
         reply = await self._fabric.ask(
             address, FetchConfiguration(revision=revision), timeout_s=2.0
@@ -196,12 +203,12 @@
         if isinstance(reply, ConfigurationReply) and reply.configuration is not None:
             self._configuration.adopt(reply.configuration, source=address)
 
-    def _forgive_pause(self, slept_s: float) -> None:
+    def _discount_pause(self, slept_s: float) -> None:
         pause_s = measure_pause(slept_s=slept_s, period_s=self.period_s)
         for peer in self.peers.values():
             peer.heard_at += pause_s
 
-    def _note_silence(self) -> None:
+    def _mark_lost_peers(self) -> None:
         view = self._view()
         for address in find_lost(view):
             peer = self.peers[address]
@@ -217,9 +224,9 @@
             del self.peers[address]
 
     async def close(self) -> None:
-        """Stop what is under way."""
+        """Cancel the running tasks."""
         await self._tasks.close()
 
 
-def _is_new_start(old: Heartbeat, new: Heartbeat) -> bool:
+def _has_restarted(old: Heartbeat, new: Heartbeat) -> bool:
     return old.identity.incarnation != new.identity.incarnation
--- a/src/firladder/_internal/fleet/metrics.py
+++ b/src/firladder/_internal/fleet/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics that both daemons export."""
+"""Metrics that all daemons export."""
 
 import resource
 from collections import Counter as Count
@@ -13,10 +13,10 @@
 
 
 class FleetMetrics:
-    """Metrics of a process as a member of the fleet; units are in the names."""
+    """Metrics of a process as a member of the fleet."""
 
     def __init__(self) -> None:
-        """Register all metrics in a registry of this process's own."""
+        """Register all metrics in a registry of their own."""
         self.registry = Registry()
         self.revision = self._gauge(
             "firladder_configuration_revision", "Revision of the configuration in force"
@@ -35,7 +35,8 @@
             "firladder_fabric_sent_bytes_total", "Bytes sent to other processes"
         )
         self.received = self._gauge(
-            "firladder_fabric_received_bytes_total", "Bytes received from others"
+            "firladder_fabric_received_bytes_total",
+            "Bytes received from others",
         )
         self.memory = self._gauge(
             "firladder_resident_peak_bytes", "Largest resident memory so far"
@@ -67,7 +68,7 @@
         )
 
     def collect(self, process: "Process", http: HttpServer) -> None:
-        """Refresh what every daemon exports."""
+        """Update the metrics that all daemons export."""
         self.read_usage()
         self.revision.set({}, process.configuration.current.revision)
         self.age.set({}, process.clock.read_monotonic() - process.adopted_at)
@@ -100,7 +101,7 @@
         return Counter(name, text, registry=self.registry)
 
     def read_usage(self) -> None:
-        """Refresh what the operating system knows of this process."""
+        """Update the metrics of this process's resource usage."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self.memory.set({}, usage.ru_maxrss * 1024)
         self.processor.set({}, usage.ru_utime + usage.ru_stime)
--- a/src/firladder/_internal/fleet/operations.py
+++ b/src/firladder/_internal/fleet/operations.py
@@ -1,4 +1,4 @@
-"""HTTP calls that both daemons answer: health, metrics and the time line."""
+"""HTTP endpoints that all daemons serve: health, metrics and the time line."""
 
 from typing import Any
 
@@ -8,30 +8,30 @@
 
 
 def add_operations(routes: RouteTable) -> None:
-    """Register the calls that every daemon answers."""
-    routes.route("GET", "/health/live")(tell_live)
-    routes.route("GET", "/health/ready")(tell_ready)
-    routes.route("GET", "/metrics")(show_metrics)
+    """Register the endpoints that all daemons serve."""
+    routes.route("GET", "/health/live")(report_liveness)
+    routes.route("GET", "/health/ready")(report_readiness)
+    routes.route("GET", "/metrics")(render_metrics)
     routes.route("GET", "/v1/events")(list_events)
 
 
-async def tell_live(app: Any, call: HttpCall) -> HttpReply:
-    """Answer as long as the process turns its loop."""
+async def report_liveness(app: Any, call: HttpCall) -> HttpReply:
+    """Answer as long as the event loop runs."""
     return reply_json({"state": app.life.state})
 
 
-async def tell_ready(app: Any, call: HttpCall) -> HttpReply:
-    """Tell the balancer whether to send callers here.
+async def report_readiness(app: Any, call: HttpCall) -> HttpReply:
+    """Tell the load balancer whether to send clients here.
 
-    A process that has heard neither the store nor a peer knows no
-    organisation and would refuse every caller as unknown.
+    A process that has reached neither the store nor a peer knows no organisation
+    and would refuse every client as unknown.
     """
     ready = app.life.state == "serving" and app.configuration.loaded
     status = 200 if ready else 503
     return reply_json({"ready": ready, "state": app.life.state}, status=status)
 
 
-async def show_metrics(app: Any, call: HttpCall) -> HttpReply:
+async def render_metrics(app: Any, call: HttpCall) -> HttpReply:
     """Return all metrics in the Prometheus text format."""
     app.collect_metrics()
     registry: Registry = app.metrics.registry
@@ -40,7 +40,7 @@
 
 
 async def list_events(app: Any, call: HttpCall) -> HttpReply:
-    """Return this process's part of the time line."""
+    """Return the events of this process's time line."""
     after = call.query.get("after", "0")
     events = app.timeline.list_events(after=int(after) if after.isdigit() else 0)
     return reply_json({"events": events})
--- a/src/firladder/_internal/fleet/process.py
+++ b/src/firladder/_internal/fleet/process.py
@@ -1,4 +1,4 @@
-"""The life cycle that both daemons share."""
+"""The life cycle that the gateway and scheduler daemons share."""
 
 import asyncio
 import random
@@ -27,21 +27,21 @@
 from .configuration import ConfigurationHolder
 from .membership import Membership
 
-STORE_LOOK_S = 0.2
-"""Seconds between two looks at whether the store is reachable; the same sleep
-tells how late the event loop was, so that it costs no wake-up of its own."""
+STORE_POLL_S = 0.2
+"""Interval at which the store's reachability is polled. The same sleep measures the
+delay of the event loop, which so needs no timer of its own."""
 
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class Process:
-    """What a daemon has before it does anything of its own."""
+    """The base of a daemon: the parts that do not depend on its role."""
 
     role: DaemonRole
 
     def __init__(self, settings: Mapping[str, ResolvedSetting]) -> None:
-        """Build all parts; nothing listens or connects yet."""
+        """Create all parts; nothing listens or connects yet."""
         self.settings = settings
         self.identity = Identity(
             vm=self.read("vm"),
@@ -75,10 +75,10 @@
         )
         self.configuration = ConfigurationHolder(self.timeline)
         self.adopted_at = self.clock.read_monotonic()
-        self.configuration.listen(self._note_adopted)
+        self.configuration.listen(self._record_adoption)
         self.loop_lag = LoopLag()
         self.inventory = Inventory()
-        # A leader that took an empty list for the truth would end every gang.
+        # A leader that acted on a list not loaded yet would stop every gang.
         self.inventory_loaded = asyncio.Event()
         self.membership = Membership(
             fabric=self.fabric,
@@ -97,11 +97,11 @@
 
     @property
     def draining(self) -> bool:
-        """Tell whether the process is on its way out."""
+        """Return whether the process is draining or stopped."""
         return self.life.state in ("draining", "stopped")
 
     def describe(self) -> Heartbeat:
-        """Return this process as peers shall see it."""
+        """Return the heartbeat that describes this process to its peers."""
         return Heartbeat(
             identity=self.identity,
             revision=self.configuration.current.revision,
@@ -123,8 +123,8 @@
         )
 
     async def run(self) -> None:
-        """Serve until told to stop, then leave gracefully."""
-        self._obey_signals()
+        """Serve until a stop signal, then drain and stop."""
+        self._install_signal_handlers()
         self.timeline.record(
             Event.PROCESS_STARTED, incarnation=self.identity.incarnation
         )
@@ -142,7 +142,7 @@
             name="mirror-vms",
         )
         self.tasks.spawn(self.membership.run(), name="membership")
-        self.tasks.spawn(self._watch_store(), name="store-state")
+        self.tasks.spawn(self._poll_store(), name="store-state")
         await self.begin()
         self.life.fire("ready")
         self.timeline.record(Event.PROCESS_SERVING)
@@ -156,13 +156,13 @@
         for number in STOP_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
-    def _obey_signals(self) -> None:
-        """Begin a planned stop at the first signal, and ignore any other.
+    def _install_signal_handlers(self) -> None:
+        """Start a graceful stop at the first signal, and ignore all others.
 
-        The event loop's own handlers end with the loop, and the interpreter's
-        with its shutdown: a second signal in the last moments of a graceful stop
-        would then kill the process, and its supervisor would report a crash. So
-        these are plain handlers, and the signals are ignored in the end.
+        The event loop's own handlers are removed with the loop, and the interpreter's
+        at its shutdown. A second signal at the end of a graceful stop would then kill
+        the process, and its supervisor would report a crash. So these are plain signal
+        handlers, and ``run`` ignores the signals at its end.
         """
         loop = asyncio.get_running_loop()
 
@@ -178,15 +178,15 @@
         self.inventory_loaded.set()
         self.adopt_inventory()
 
-    def _note_adopted(self, fresh: Configuration) -> None:
+    def _record_adoption(self, fresh: Configuration) -> None:
         self.adopted_at = self.clock.read_monotonic()
 
-    async def _watch_store(self) -> None:
+    async def _poll_store(self) -> None:
         loop = asyncio.get_running_loop()
         reachable = True
         while True:
-            due = loop.time() + STORE_LOOK_S
-            await asyncio.sleep(STORE_LOOK_S)
+            due = loop.time() + STORE_POLL_S
+            await asyncio.sleep(STORE_POLL_S)
             self.loop_lag.observe(max(0.0, loop.time() - due), loop.time())
             if self.store.reachable != reachable:
                 reachable = self.store.reachable
@@ -195,18 +195,18 @@
                 )
 
     def adopt_inventory(self) -> None:
-        """React to a new state of the VM list."""
+        """React to a change of the VM list; daemons override this."""
 
     async def begin(self) -> None:
-        """Start what the daemon itself does."""
+        """Start the daemon's own parts."""
         raise NotImplementedError
 
     async def drain(self) -> None:
-        """Finish what was begun and take nothing new."""
+        """Finish the open work and accept no more."""
         raise NotImplementedError
 
     async def close(self) -> None:
-        """Free all sockets."""
+        """Cancel the running tasks and close all sockets."""
         await self.tasks.close()
         await self.membership.close()
         await self.fabric.close()
