--- a/src/firladder/_internal/network/fabric.py
+++ b/src/firladder/_internal/network/fabric.py
@@ -25,13 +25,13 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_MESSAGE = 2 * 1024 * 1024
+MAX_MESSAGE_BYTES = 2 * 1024 * 1024
 """Bytes of one message; the whole configuration is at most about a megabyte."""
 
-HIGH_WATER = 1000
+MAX_QUEUED_MESSAGES = 1000
 """Messages queued for one peer before new ones are dropped."""
 
-COMPLAINT_S = 10.0
+WARNING_INTERVAL_S = 10.0
 """Seconds between two lines in the log about malformed messages."""
 
 HANDSHAKE_MS = 3000
@@ -68,8 +68,8 @@
         if authenticator is not None:
             authenticator.secure_client(socket)
         socket.setsockopt(zmq.LINGER, 0)
-        socket.setsockopt(zmq.SNDHWM, HIGH_WATER)
-        socket.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE)
+        socket.setsockopt(zmq.SNDHWM, MAX_QUEUED_MESSAGES)
+        socket.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
         socket.setsockopt(zmq.RECONNECT_IVL, 100)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, 2000)
         socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
@@ -77,7 +77,7 @@
         socket.setsockopt(zmq.CONNECT_TIMEOUT, HEARTBEAT_MS)
         socket.connect(f"tcp://{source_ip}:0;{address}")
         self.socket = socket
-        self.outbox: asyncio.Queue[bytes] = asyncio.Queue(HIGH_WATER)
+        self.send_queue: asyncio.Queue[bytes] = asyncio.Queue(MAX_QUEUED_MESSAGES)
         self.used_at = 0.0
         self.tasks: tuple[asyncio.Task[None], ...] = ()
 
@@ -107,11 +107,11 @@
         self._logical = logical
         self._handlers: dict[type[Body], MessageHandler] = {}
         self._links: dict[str, _Link] = {}
-        self._waiting: dict[str, asyncio.Future[AnyBody]] = {}
+        self._pending: dict[str, asyncio.Future[AnyBody]] = {}
         self._counter = itertools.count(1)
         self._tasks = TaskSet()
         self._server: zmq.asyncio.Socket | None = None
-        self._complained_at = -COMPLAINT_S
+        self._warned_at = -WARNING_INTERVAL_S
         self.malformed = 0
         self.sent_bytes = 0
         self.received_bytes = 0
@@ -133,8 +133,8 @@
             )
         server.setsockopt(zmq.HANDSHAKE_IVL, HANDSHAKE_MS)
         server.setsockopt(zmq.LINGER, 0)
-        server.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE)
-        server.setsockopt(zmq.RCVHWM, HIGH_WATER)
+        server.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
+        server.setsockopt(zmq.RCVHWM, MAX_QUEUED_MESSAGES)
         server.bind(f"tcp://{self._address}")
         self._server = server
         self._tasks.spawn(self._serve(server), name="fabric-server")
@@ -147,17 +147,17 @@
         # number of its own is enough to tell them apart.
         correlation = f"{next(self._counter):x}"
         future: asyncio.Future[AnyBody] = asyncio.get_running_loop().create_future()
-        self._waiting[correlation] = future
+        self._pending[correlation] = future
         try:
-            if not self._post(address, correlation, body):
+            if not self._enqueue(address, correlation, body):
                 return PeerUnreachable(reason=f"{address}: too many messages queued")
             return await asyncio.wait_for(future, timeout_s)
         except TimeoutError:
             return PeerUnreachable(reason=f"{address}: no reply in {timeout_s} s")
         finally:
-            self._waiting.pop(correlation, None)
+            self._pending.pop(correlation, None)
 
-    def _post(self, address: str, correlation: str, body: AnyBody) -> bool:
+    def _enqueue(self, address: str, correlation: str, body: AnyBody) -> bool:
         link = self._links.get(address)
         if link is None:
             source_ip = split_address(self._address)[0]
@@ -165,12 +165,14 @@
                 self._context, address, source_ip, self._authenticator
             )
             link.tasks = (
-                self._tasks.spawn(self._send_all(link), name=f"link-out-{address}"),
-                self._tasks.spawn(self._receive_all(link), name=f"link-in-{address}"),
+                self._tasks.spawn(self._send_queued(link), name=f"link-out-{address}"),
+                self._tasks.spawn(
+                    self._receive_replies(link), name=f"link-in-{address}"
+                ),
             )
         link.used_at = asyncio.get_running_loop().time()
         try:
-            link.outbox.put_nowait(self._encode(correlation, body))
+            link.send_queue.put_nowait(self._encode(correlation, body))
         except asyncio.QueueFull:
             return False
         return True
@@ -189,32 +191,32 @@
         try:
             envelope = _decoder.decode(data)
         except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-            self._note_malformed(error)
+            self._record_malformed(error)
             return None
         self._logical.merge(envelope.clock)
         return envelope
 
-    def _note_malformed(self, error: Exception) -> None:
+    def _record_malformed(self, error: Exception) -> None:
         # A stranger sends thousands a second; a line for each would fill the
         # log and cost more than the messages.
         self.malformed += 1
         now = time.monotonic()
-        if now - self._complained_at > COMPLAINT_S:
-            self._complained_at = now
+        if now - self._warned_at > WARNING_INTERVAL_S:
+            self._warned_at = now
             logger.warning("%d malformed messages, last: %s", self.malformed, error)
 
-    async def _send_all(self, link: _Link) -> None:
+    async def _send_queued(self, link: _Link) -> None:
         while True:
-            data = await link.outbox.get()
+            data = await link.send_queue.get()
             self.sent_bytes += len(data)
             await link.socket.send(data)
 
-    async def _receive_all(self, link: _Link) -> None:
+    async def _receive_replies(self, link: _Link) -> None:
         while True:
             envelope = self._decode(await link.socket.recv())
             if envelope is None:
                 continue
-            future = self._waiting.get(envelope.correlation)
+            future = self._pending.get(envelope.correlation)
             if future is not None and not future.done():
                 future.set_result(envelope.body)
 
@@ -222,7 +224,7 @@
         while True:
             frames = await server.recv_multipart()
             if len(frames) != 2:
-                self._note_malformed(ValueError(f"{len(frames)} frames"))
+                self._record_malformed(ValueError(f"{len(frames)} frames"))
                 continue
             envelope = self._decode(frames[1])
             if envelope is not None:
--- a/src/firladder/_internal/network/http_client.py
+++ b/src/firladder/_internal/network/http_client.py
@@ -30,11 +30,11 @@
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 """Bytes of an answer; the store holds values of at most one megabyte."""
 
-MOST_BODY_S = 20.0
+MAX_BODY_S = 20.0
 """Limit for a body that keeps arriving; ``MAX_RESPONSE_BYTES`` takes 17 s at
 2 Mbit/s."""
 
-_NEVER_SENT = (
+_CONNECT_ERRORS = (
     net_error.ConnectError,
     net_error.DNSLookupError,
     net_error.UserError,
@@ -56,10 +56,10 @@
     def __init__(self, body: bytes) -> None:
         self._body = body
         self.length = len(body)
-        self.begun = False
+        self.started = False
 
     def startProducing(self, consumer: Any) -> Any:  # noqa: N802
-        self.begun = True
+        self.started = True
         consumer.write(self._body)
         return succeed(None)
 
@@ -98,10 +98,10 @@
                 if stall_timeout_s is None
                 else min(end, self._received_at + stall_timeout_s)
             )
-            left_s = until - self._loop.time()
-            if left_s <= 0:
+            remaining_s = until - self._loop.time()
+            if remaining_s <= 0:
                 return False
-            await asyncio.wait({self.done}, timeout=left_s)
+            await asyncio.wait({self.done}, timeout=remaining_s)
         return True
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -126,10 +126,10 @@
 class _BodyCollector(_BodyReader):
     """Collect a body of at most so many bytes."""
 
-    def __init__(self, max_bytes: int, on_part: Callable[[], None]) -> None:
-        super().__init__(self._keep)
-        self._on_part = on_part
-        self._most_bytes = max_bytes
+    def __init__(self, max_bytes: int, on_receive: Callable[[], None]) -> None:
+        super().__init__(self._append_chunk)
+        self._on_receive = on_receive
+        self._max_bytes = max_bytes
         self._size = 0
         self._chunks: list[bytes] = []
         self.too_large = False
@@ -138,15 +138,15 @@
     def body(self) -> bytes:
         return b"".join(self._chunks)
 
-    def _keep(self, chunk: bytes) -> None:
-        self._on_part()
+    def _append_chunk(self, chunk: bytes) -> None:
+        self._on_receive()
         self._size += len(chunk)
-        if self._size > self._most_bytes:
-            self.give_up()
+        if self._size > self._max_bytes:
+            self.abort()
         else:
             self._chunks.append(chunk)
 
-    def give_up(self) -> None:
+    def abort(self) -> None:
         """Read no more of a body that is too large."""
         if self.done.done():
             return
@@ -228,33 +228,33 @@
         A request with a body that gets no connection within ``send_within_s`` is
         never sent: ``NotSent``.
         """
-        opened = await self._open(
+        outcome = await self._request(
             method, url, body, headers, timeout_s, send_within_s=send_within_s
         )
-        if isinstance(opened, NotSent | SentUnanswered):
-            return opened
-        response, remaining_s = opened
-        self._count_part()
-        reader = _BodyCollector(max_bytes, self._count_part)
+        if isinstance(outcome, NotSent | SentUnanswered):
+            return outcome
+        response, remaining_s = outcome
+        self._count_chunk()
+        reader = _BodyCollector(max_bytes, self._count_chunk)
         response.deliverBody(reader)
         if response.length is not UNKNOWN_LENGTH and response.length > max_bytes:
-            reader.give_up()
+            reader.abort()
         try:
-            limit_s = remaining_s if stall_timeout_s is None else MOST_BODY_S
-            ended = await reader.wait(limit_s, stall_timeout_s=stall_timeout_s)
+            limit_s = remaining_s if stall_timeout_s is None else MAX_BODY_S
+            completed = await reader.wait(limit_s, stall_timeout_s=stall_timeout_s)
         finally:
             # Also when the caller is cancelled: nobody waits for the rest.
             _abort(reader)
         if reader.too_large:
             return AnswerTooLarge(reason=f"answer of more than {max_bytes} bytes")
-        if not ended:
+        if not completed:
             return SentUnanswered(reason="timed out while reading the answer")
-        broken = reader.done.result()
-        if broken is not None:
-            return SentUnanswered(reason=broken)
+        reason = reader.done.result()
+        if reason is not None:
+            return SentUnanswered(reason=reason)
         return HttpResponse(response.code, _flatten(response.headers), reader.body)
 
-    def _count_part(self) -> None:
+    def _count_chunk(self) -> None:
         self.chunks_received += 1
 
     async def stream(
@@ -262,12 +262,12 @@
     ) -> AsyncIterator[bytes]:
         """Yield the lines of an answer that goes on until either side ends it."""
         queue: asyncio.Queue[bytes | None] = asyncio.Queue()
-        opened = await self._open(method, url, body, None, timeout_s)
-        if isinstance(opened, NotSent | SentUnanswered):
+        outcome = await self._request(method, url, body, None, timeout_s)
+        if isinstance(outcome, NotSent | SentUnanswered):
             return
         reader = _BodyReader(queue.put_nowait)
         reader.done.add_done_callback(lambda _: queue.put_nowait(None))
-        opened[0].deliverBody(reader)
+        outcome[0].deliverBody(reader)
         rest = b""
         try:
             while (chunk := await queue.get()) is not None:
@@ -277,7 +277,7 @@
         finally:
             _abort(reader)
 
-    async def _open(
+    async def _request(
         self,
         method: str,
         url: str,
@@ -300,13 +300,13 @@
         try:
             if body and send_within_s is not None:
                 await asyncio.wait((future,), timeout=send_within_s)
-                if not (future.done() or producer.begun):
+                if not (future.done() or producer.started):
                     return NotSent(reason="timed out before sending")
             response = await asyncio.wait_for(future, deadline - loop.time())
-        except _NEVER_SENT as error:
+        except _CONNECT_ERRORS as error:
             return NotSent(reason=f"cannot connect: {error}")
         except TimeoutError:
-            if body and not producer.begun:
+            if body and not producer.started:
                 return NotSent(reason="timed out before sending")
             return SentUnanswered(reason="timed out before the answer")
         except Exception as error:
--- a/src/firladder/_internal/network/http_limits.py
+++ b/src/firladder/_internal/network/http_limits.py
@@ -19,15 +19,15 @@
 MAX_CONNECTIONS = 512
 """Open connections a listener; each costs about 20 KB, so 10 MB at most."""
 
-PATIENCE_S = 30.0
+REQUEST_TIMEOUT_S = 30.0
 """Seconds from a connection's start, or its last answer, to its next whole
 request. Counted over the whole request: a peer that sends a byte now and then
 is never idle, and would keep its place for ever."""
 
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 
 
-class Places:
+class ConnectionTracker:
     """The connections of a listener: who waits to send, and who is being served.
 
     Made for floods and slow senders: they fill all places without ever asking
@@ -35,61 +35,63 @@
     whole for longest; callers whose requests run are never cut for it.
     """
 
-    def __init__(self, *, most: int, request_timeout_s: float) -> None:
-        """Hold at most ``most`` connections."""
-        self._most = most
-        self._patience_s = request_timeout_s
-        self._waiting: dict[Any, float] = {}
-        self._served: set[Any] = set()
+    def __init__(self, *, max_connections: int, request_timeout_s: float) -> None:
+        """Hold at most ``max_connections`` connections."""
+        self._max_connections = max_connections
+        self._request_timeout_s = request_timeout_s
+        self._idle_since: dict[Any, float] = {}
+        self._active: set[Any] = set()
         self.dropped = 0
 
     def count(self) -> int:
         """Return the connections that are open."""
-        return len(self._waiting) + len(self._served)
+        return len(self._idle_since) + len(self._active)
 
-    def find_room(self) -> tuple[bool, Any | None]:
+    def admit(self) -> tuple[bool, Any | None]:
         """Tell whether a newcomer may come in, and who must go for it."""
-        if self.count() < self._most:
+        if self.count() < self._max_connections:
             return True, None
         self.dropped += 1
-        if not self._waiting:
+        if not self._idle_since:
             return False, None
-        longest = min(self._waiting, key=self._waiting.__getitem__)
-        del self._waiting[longest]
-        return True, longest
+        longest_idle = min(self._idle_since, key=self._idle_since.__getitem__)
+        del self._idle_since[longest_idle]
+        return True, longest_idle
 
-    def rest(self, connection: Any, now: float) -> None:
+    def mark_idle(self, connection: Any, now: float) -> None:
         """Note that a connection is new, or has its answer."""
-        self._served.discard(connection)
-        self._waiting[connection] = now
+        self._active.discard(connection)
+        self._idle_since[connection] = now
 
-    def serve(self, connection: Any) -> None:
+    def mark_active(self, connection: Any) -> None:
         """Note that a whole request is in."""
-        if self._waiting.pop(connection, None) is not None:
-            self._served.add(connection)
+        if self._idle_since.pop(connection, None) is not None:
+            self._active.add(connection)
 
-    def leave(self, connection: Any) -> None:
+    def remove(self, connection: Any) -> None:
         """Forget a connection."""
-        self._waiting.pop(connection, None)
-        self._served.discard(connection)
+        self._idle_since.pop(connection, None)
+        self._active.discard(connection)
 
-    def take_waiting(self) -> list[Any]:
+    def pop_idle(self) -> list[Any]:
         """Return, and forget, the connections without an open call."""
-        waiting = list(self._waiting)
-        self._waiting.clear()
-        return waiting
+        idle = list(self._idle_since)
+        self._idle_since.clear()
+        return idle
 
-    def count_served(self) -> int:
+    def count_active(self) -> int:
         """Return the connections with an open call."""
-        return len(self._served)
+        return len(self._active)
 
-    def take_late(self, now: float) -> list[Any]:
+    def pop_expired(self, now: float) -> list[Any]:
         """Return, and forget, the connections that took too long."""
-        late = [c for c, t in self._waiting.items() if now - t > self._patience_s]
-        for connection in late:
-            del self._waiting[connection]
-        self.dropped += len(late)
-        return late
+        expired = [
+            c for c, t in self._idle_since.items() if now - t > self._request_timeout_s
+        ]
+        for connection in expired:
+            del self._idle_since[connection]
+        self.dropped += len(expired)
+        return expired
 
 
 class LimitedRequest(Request):
@@ -140,14 +142,14 @@
             # The caller closes when it has read the end of the answer, or the
             # patience is over.
             return
-        self.channel.site.connection_tracker.serve(self.channel.transport)
+        self.channel.site.connection_tracker.mark_active(self.channel.transport)
         super().process()
 
     def finish(self) -> None:
         """End the answer; the connection then waits for its next request."""
         # Noted first: finishing may begin a request that was pipelined.
         if self.channel is not None:
-            self.channel.site.note_answered(self.channel.transport)
+            self.channel.site.record_response(self.channel.transport)
         super().finish()
 
 
@@ -168,42 +170,42 @@
             "LimitedRequest", (LimitedRequest,), {"max_body_bytes": max_body_bytes}
         )
         super().__init__(resource, requestFactory=limited, timeout=request_timeout_s)
-        self.connection_tracker = Places(
-            most=max_connections, request_timeout_s=request_timeout_s
+        self.connection_tracker = ConnectionTracker(
+            max_connections=max_connections, request_timeout_s=request_timeout_s
         )
         self._read_clock = read_clock
 
     def buildProtocol(self, addr: IAddress) -> IProtocol | None:  # noqa: N802
         """Return a channel for a newcomer, or None, which closes it at once."""
-        allowed, leaver = self.connection_tracker.find_room()
-        if leaver is not None:
-            leaver.abortConnection()
+        allowed, victim = self.connection_tracker.admit()
+        if victim is not None:
+            victim.abortConnection()
         if not allowed:
             return None
         channel = super().buildProtocol(addr)
         make, lose = channel.makeConnection, channel.connectionLost
 
-        def count_in(transport: Any) -> None:
-            self.connection_tracker.rest(transport, self._read_clock())
-            channel.connectionLost = functools.partial(count_out, transport)
+        def track(transport: Any) -> None:
+            self.connection_tracker.mark_idle(transport, self._read_clock())
+            channel.connectionLost = functools.partial(untrack, transport)
             make(transport)
 
-        def count_out(transport: Any, *args: Any) -> None:
-            self.connection_tracker.leave(transport)
+        def untrack(transport: Any, *args: Any) -> None:
+            self.connection_tracker.remove(transport)
             lose(*args)
 
-        channel.makeConnection = count_in
+        channel.makeConnection = track
         return channel
 
-    def note_answered(self, transport: Any) -> None:
+    def record_response(self, transport: Any) -> None:
         """Start the patience anew after an answer."""
-        self.connection_tracker.rest(transport, self._read_clock())
+        self.connection_tracker.mark_idle(transport, self._read_clock())
 
     async def sweep(self) -> None:
         """Close the connections that take too long, until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_S)
-            for transport in self.connection_tracker.take_late(self._read_clock()):
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            for transport in self.connection_tracker.pop_expired(self._read_clock()):
                 transport.abortConnection()
 
     def log(self, request: http.Request) -> None:
--- a/src/firladder/_internal/network/http_server.py
+++ b/src/firladder/_internal/network/http_server.py
@@ -25,11 +25,11 @@
 from .http_limits import (
     MAX_BODY_BYTES,
     MAX_CONNECTIONS,
-    PATIENCE_S,
+    REQUEST_TIMEOUT_S,
+    ConnectionTracker,
     LimitedSite,
-    Places,
 )
-from .listening import HANDSHAKE_S, ignore_new_connections
+from .listening import HANDSHAKE_GRACE_S, ignore_new_connections
 
 logger = logging.getLogger(__name__)
 
@@ -204,7 +204,7 @@
     }
 
 
-FINISH_LOOK_S = 0.02
+FINISH_POLL_S = 0.02
 """Seconds between looks at the calls that are still open."""
 
 
@@ -218,7 +218,7 @@
         *,
         max_body_bytes: int = MAX_BODY_BYTES,
         max_connections: int = MAX_CONNECTIONS,
-        request_timeout_s: float = PATIENCE_S,
+        request_timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> None:
         """Serve ``routes`` with ``app`` as the first argument of each handler."""
         self._tasks = TaskSet()
@@ -237,7 +237,7 @@
         return self._site
 
     @property
-    def connection_tracker(self) -> Places:
+    def connection_tracker(self) -> ConnectionTracker:
         """Return the connections that are open."""
         return self._site.connection_tracker
 
@@ -254,7 +254,7 @@
         port, self._port = self._port, None
         if ignore_new_connections(port.socket):
             # The reactor accepts what has come so far in the meantime.
-            await asyncio.sleep(HANDSHAKE_S)
+            await asyncio.sleep(HANDSHAKE_GRACE_S)
         deferred = port.stopListening()
         if deferred is not None:
             await deferred.asFuture(asyncio.get_running_loop())
@@ -267,11 +267,11 @@
         """
         end = time.monotonic() + within_s
         while True:
-            for transport in self.connection_tracker.take_waiting():
+            for transport in self.connection_tracker.pop_idle():
                 transport.loseConnection()
-            if not self.connection_tracker.count_served() or time.monotonic() >= end:
+            if not self.connection_tracker.count_active() or time.monotonic() >= end:
                 return
-            await asyncio.sleep(FINISH_LOOK_S)
+            await asyncio.sleep(FINISH_POLL_S)
 
     async def close(self) -> None:
         """Stop listening and give up the calls that are still open."""
--- a/src/firladder/_internal/network/listening.py
+++ b/src/firladder/_internal/network/listening.py
@@ -14,7 +14,7 @@
 SO_ATTACH_FILTER = 26
 """Number of the socket option on Linux; Python's ``socket`` does not name it."""
 
-HANDSHAKE_S = 0.1
+HANDSHAKE_GRACE_S = 0.1
 """Seconds given to handshakes under way; clients are about 1 ms away."""
 
 _TCP_FLAGS_OFFSET = 13
