--- a/src/firladder/_internal/network/__init__.py
+++ b/src/firladder/_internal/network/__init__.py
@@ -1,8 +1,8 @@
-"""HTTP and inter-process sockets, each owned by one task.
+"""HTTP and inter-process sockets; one task owns each.
 
-Importing this package installs twisted's reactor on asyncio: twisted.web would
-otherwise install the default one the moment it is imported, and ``zmq.asyncio``
-could then share no event loop with it.
+Importing this package installs twisted's reactor on asyncio. Otherwise twisted.web
+would install the default reactor when it is imported, which cannot share an event
+loop with ``zmq.asyncio``.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 def run_reactor(main: Coroutine[Any, Any, None]) -> None:
-    """Run ``main`` to its end on the event loop that the reactor shares."""
+    """Run ``main`` to completion on the event loop that the reactor uses."""
     from twisted.internet import reactor
 
     reactor.startRunning(installSignalHandlers=False)
--- a/src/firladder/_internal/network/authentication.py
+++ b/src/firladder/_internal/network/authentication.py
@@ -1,4 +1,4 @@
-"""Let only daemons of the same fleet talk to each other (CURVE of pyzmq)."""
+"""Authenticate processes of the same fleet to each other (CURVE of ZeroMQ)."""
 
 import dataclasses
 import hashlib
@@ -22,9 +22,9 @@
 def derive_keys(secret: str, purpose: bytes) -> KeyPair:
     """Return the key pair of the whole fleet for one purpose.
 
-    The secret is hashed once, not stretched, so it must be random, no phrase.
-    VMs keep nothing, so no key of a VM's own would survive its replacement or
-    could be made known to the others; all that a new VM brings is its settings.
+    The secret is hashed once, without key stretching, so it must be random and not a
+    passphrase. There are no keys per VM: a VM keeps no state, so its own key would be
+    lost when it is replaced, and a new VM has only its settings to share.
     """
     digest = hashlib.blake2b(secret.encode(), digest_size=32, person=purpose)
     private = z85.encode(digest.digest())
@@ -32,21 +32,21 @@
 
 
 class FleetAuthenticator:
-    """Secure sockets with the fleet's keys, and check peers' keys."""
+    """Encrypt sockets with the fleet's keys and verify the keys of peers."""
 
     def __init__(self, context: zmq.asyncio.Context, secret: str) -> None:
-        """Derive the keys; ``start`` must be called before sockets bind."""
+        """Derive the keys; call ``start`` before a socket binds."""
         self._server = derive_keys(secret, b"server")
         self._client = derive_keys(secret, b"client")
         self._zap = AsyncioAuthenticator(context)
 
     def start(self) -> None:
-        """Begin to check the keys of those who connect."""
+        """Start verifying the keys of connecting peers."""
         self._zap.start()
         self._zap.configure_curve_callback(ZAP_DOMAIN, credentials_provider=self)
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Tell whether a peer's key is the fleet's."""
+        """Return whether a peer's key is the fleet's client key."""
         return key == self._client.public
 
     def secure_server(self, socket: zmq.asyncio.Socket) -> None:
@@ -63,5 +63,5 @@
         socket.curve_publickey = self._client.public
 
     def stop(self) -> None:
-        """End the checks."""
+        """Stop verifying keys."""
         self._zap.stop()
--- a/src/firladder/_internal/network/fabric.py
+++ b/src/firladder/_internal/network/fabric.py
@@ -1,8 +1,7 @@
-"""Messages between the product's own processes, over pyzmq.
+"""Messages between processes of the fleet, over ZeroMQ.
 
-One task owns each socket. A question waits for its reply under a correlation
-id; a reply that nobody waits for any more is dropped, so that a late answer
-can never reach another question.
+One task owns each socket. A request waits for its reply under a correlation id. A
+reply whose request has timed out is dropped, so that it cannot reach another request.
 """
 
 import asyncio
@@ -26,26 +25,26 @@
 logger = logging.getLogger(__name__)
 
 MAX_MESSAGE_BYTES = 2 * 1024 * 1024
-"""Bytes of one message; the whole configuration is at most about a megabyte."""
+"""Size of one message; a complete configuration has at most about 1 MB."""
 
 MAX_QUEUED_MESSAGES = 1000
-"""Messages queued for one peer before new ones are dropped."""
+"""Messages queued for one peer; further ones are dropped."""
 
 WARNING_INTERVAL_S = 10.0
-"""Seconds between two lines in the log about malformed messages."""
+"""Interval between two log lines about malformed messages."""
 
 HANDSHAKE_MS = 3000
-"""Milliseconds for a peer's handshake; peers are milliseconds apart. What speaks
-another protocol, or nothing, frees its connection after this time."""
+"""Time for a peer's handshake; peers are milliseconds apart. A connection with another
+protocol, or without traffic, is closed after this time."""
 
 HEARTBEAT_MS = 1000
-"""Milliseconds between two signs of life of a link, and after which silence ends
-it: a connection may fall silent for good without a reset, while a new one would
-work; only this shows it."""
+"""Interval of the heartbeats on a link, and the time without one after which it is
+closed. A connection may be dead without a reset while a new one would work; only
+heartbeats reveal that."""
 
 IDLE_LINK_S = 15.0
-"""Seconds after which a link that nobody used is closed. An open one costs a sign of
-life a second at both its ends; a new one costs a handshake."""
+"""Time after which an unused link is closed. An open link costs 1 heartbeat per second
+at both ends; a new one costs a handshake."""
 
 B = TypeVar("B", bound=Body)
 MessageHandler = Callable[[Any], Awaitable[AnyBody | None]]
@@ -55,7 +54,7 @@
 
 
 class _Link:
-    """A connection to one peer: its socket belongs to its task alone."""
+    """A connection to one peer; only its own tasks use the socket."""
 
     def __init__(
         self,
@@ -82,21 +81,21 @@
         self.tasks: tuple[asyncio.Task[None], ...] = ()
 
     def close(self) -> None:
-        """End the tasks before their socket goes."""
+        """Cancel the tasks, then close the socket."""
         for task in self.tasks:
             task.cancel()
         self.socket.close()
 
 
 class Fabric:
-    """This process's end of the messages between processes."""
+    """Send requests to other processes and answer theirs."""
 
     def __init__(
         self, *, address: str, sender: str, logical: LogicalClock, secret: str = ""
     ) -> None:
         """Prepare to listen on ``address`` (``host:port``).
 
-        With a ``secret``, only processes that know it are heard or spoken to.
+        With a ``secret``, only processes that know it can connect.
         """
         self._context = zmq.asyncio.Context()
         self._authenticator = (
@@ -117,18 +116,18 @@
         self.received_bytes = 0
 
     def handle(self, type_: type[B], handler: MessageHandler) -> None:
-        """Let ``handler`` answer messages of ``type_``."""
+        """Register the handler of messages of ``type_``."""
         self._handlers[type_] = handler
 
     def start(self) -> None:
-        """Listen, and answer what comes."""
+        """Listen, and answer requests."""
         server = self._context.socket(zmq.ROUTER)
         if self._authenticator is not None:
             self._authenticator.start()
             self._authenticator.secure_server(server)
         else:
             logger.warning(
-                "whoever reaches %s is trusted: set FIRLADDER_FLEET_SECRET",
+                "%s accepts any peer: set FIRLADDER_FLEET_SECRET to authenticate",
                 self._address,
             )
         server.setsockopt(zmq.HANDSHAKE_IVL, HANDSHAKE_MS)
@@ -142,9 +141,9 @@
     async def ask(
         self, address: str, body: AnyBody, *, timeout_s: float
     ) -> AnyBody | PeerUnreachable:
-        """Send a question and return its reply."""
-        # Replies come back over this process's own connections, so that a
-        # number of its own is enough to tell them apart.
+        """Send a request and return its reply."""
+        # Replies arrive on this process's own connections, so the correlation id
+        # needs to be unique in this process only.
         correlation = f"{next(self._counter):x}"
         future: asyncio.Future[AnyBody] = asyncio.get_running_loop().create_future()
         self._pending[correlation] = future
@@ -197,8 +196,8 @@
         return envelope
 
     def _record_malformed(self, error: Exception) -> None:
-        # A stranger sends thousands a second; a line for each would fill the
-        # log and cost more than the messages.
+        # An unknown sender may send thousands per second. A log line for each would
+        # fill the log and cost more than the messages.
         self.malformed += 1
         now = time.monotonic()
         if now - self._warned_at > WARNING_INTERVAL_S:
@@ -250,7 +249,7 @@
         await server.send_multipart([route, data])
 
     def close_idle_links(self, *, idle_s: float = IDLE_LINK_S) -> None:
-        """Close links that nobody used lately, so that dead peers cost nothing."""
+        """Close links unused for ``idle_s``, so that dead peers cost nothing."""
         now = asyncio.get_running_loop().time()
         idle = [a for a, link in self._links.items() if now - link.used_at > idle_s]
         for address in idle:
--- a/src/firladder/_internal/network/http_client.py
+++ b/src/firladder/_internal/network/http_client.py
@@ -1,4 +1,4 @@
-"""Call outside systems over HTTP and say exactly how far a call came."""
+"""Call external systems over HTTP and report how far a failed call got."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -25,10 +25,10 @@
 from ..exceptions import AnswerTooLarge, NotSent, SentUnanswered
 
 CONNECT_TIMEOUT_S = 1.0
-"""Seconds for a TCP connection; hosts are a millisecond apart."""
+"""Time for a TCP connection; hosts are a millisecond apart."""
 
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
-"""Bytes of an answer; the store holds values of at most one megabyte."""
+"""Size of a response; the store holds values of at most 1 MB."""
 
 MAX_BODY_S = 20.0
 """Limit for a body that keeps arriving; ``MAX_RESPONSE_BYTES`` takes 17 s at
@@ -42,7 +42,7 @@
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
-    """A whole answer: its length was checked against what was announced."""
+    """A complete response; its length matches the announced one."""
 
     status: int
     headers: dict[str, str]
@@ -51,7 +51,7 @@
 
 @implementer(IBodyProducer)
 class _BytesProducer:
-    """Send a body of known length and note that its sending began."""
+    """Send a body of known length and record when sending has started."""
 
     def __init__(self, body: bytes) -> None:
         self._body = body
@@ -74,7 +74,7 @@
 
 
 class _BodyReader(Protocol):
-    """Collect a body, or hand each chunk on, until it is whole or broken off."""
+    """Pass on each chunk of a body until it is complete or aborted."""
 
     def __init__(self, on_chunk: Callable[[bytes], None]) -> None:
         self._on_chunk = on_chunk
@@ -86,10 +86,10 @@
     async def wait(
         self, limit_s: float, *, stall_timeout_s: float | None = None
     ) -> bool:
-        """Wait for the end; tell whether it came.
+        """Wait for the end of the body; return False after a timeout.
 
-        ``done`` is not cancelled: it would count as ended, and the connection would
-        go on carrying what nobody waits for.
+        ``done`` is not cancelled: the body would then count as complete, and its
+        connection would go on receiving instead of being aborted.
         """
         end = self._loop.time() + limit_s
         while not self.done.done():
@@ -116,15 +116,15 @@
         if reason.check(ResponseDone):
             self.done.set_result(None)
         elif reason.check(PotentialDataLoss):
-            # Without a length or chunks nobody can tell a whole body from one
-            # cut short, so it is never passed on as whole.
-            self.done.set_result("answer without a length")
+            # Without a length or chunked encoding, a complete body cannot be told
+            # from a truncated one, so it never counts as complete.
+            self.done.set_result("response without a length")
         else:
-            self.done.set_result(f"answer broken off: {reason.getErrorMessage()}")
+            self.done.set_result(f"response aborted: {reason.getErrorMessage()}")
 
 
 class _BodyCollector(_BodyReader):
-    """Collect a body of at most so many bytes."""
+    """Collect a body of at most ``max_bytes``."""
 
     def __init__(self, max_bytes: int, on_receive: Callable[[], None]) -> None:
         super().__init__(self._append_chunk)
@@ -147,21 +147,21 @@
             self._chunks.append(chunk)
 
     def abort(self) -> None:
-        """Read no more of a body that is too large."""
+        """Abort the reading of a body that is too large."""
         if self.done.done():
             return
         self.too_large = True
         _abort(self)
         if not self.done.done():
-            self.done.set_result("answer too large")
+            self.done.set_result("response too large")
 
 
 @implementer(IAgentEndpointFactory)
 class _EndpointFactory:
-    """Connect to IP numbers only.
+    """Connect to IP addresses only.
 
-    The agent's own endpoints look names up in a pool of threads, which adds a
-    millisecond to every connection and keeps the process from ending.
+    The agent's own endpoints resolve names in a thread pool, which adds 1 ms to every
+    connection and prevents the process from exiting.
     """
 
     def __init__(self, source_ip: str) -> None:
@@ -178,7 +178,7 @@
 
 
 class HttpClient:
-    """Call one kind of outside system through a pool of connections."""
+    """Call one kind of external system through a connection pool."""
 
     def __init__(
         self,
@@ -195,12 +195,12 @@
         pool = HTTPConnectionPool(reactor, persistent=persistent)
         pool.maxPersistentPerHost = max_idle_per_host
         pool.cachedConnectionTimeout = 20
-        # The pool would quietly send a request again when its peer closed the
-        # connection; whether that is safe is for the caller to decide.
+        # The pool would silently repeat a request whose connection was closed by
+        # the peer. Only the caller knows whether that is safe.
         pool.retryAutomatically = False
         self._pool = pool
         self.chunks_received = 0
-        """Parts of answers that have come so far; a sign that the other side lives."""
+        """Response chunks received so far; an increase shows that a server responds."""
         self._agent = Agent.usingEndpointFactory(
             reactor, _EndpointFactory(source_ip), pool=pool
         )
@@ -243,12 +243,12 @@
             limit_s = remaining_s if stall_timeout_s is None else MAX_BODY_S
             completed = await reader.wait(limit_s, stall_timeout_s=stall_timeout_s)
         finally:
-            # Also when the caller is cancelled: nobody waits for the rest.
+            # Also when the caller is cancelled: the rest of the body isn't needed.
             _abort(reader)
         if reader.too_large:
-            return AnswerTooLarge(reason=f"answer of more than {max_bytes} bytes")
+            return AnswerTooLarge(reason=f"response of more than {max_bytes} bytes")
         if not completed:
-            return SentUnanswered(reason="timed out while reading the answer")
+            return SentUnanswered(reason="timed out while reading the response")
         reason = reader.done.result()
         if reason is not None:
             return SentUnanswered(reason=reason)
@@ -260,7 +260,7 @@
     async def stream(
         self, method: str, url: str, *, body: bytes = b"", timeout_s: float
     ) -> AsyncIterator[bytes]:
-        """Yield the lines of an answer that goes on until either side ends it."""
+        """Yield the lines of a streamed response until either side closes it."""
         queue: asyncio.Queue[bytes | None] = asyncio.Queue()
         outcome = await self._request(method, url, body, None, timeout_s)
         if isinstance(outcome, NotSent | SentUnanswered):
@@ -308,21 +308,21 @@
         except TimeoutError:
             if body and not producer.started:
                 return NotSent(reason="timed out before sending")
-            return SentUnanswered(reason="timed out before the answer")
+            return SentUnanswered(reason="timed out before the response")
         except Exception as error:
-            return SentUnanswered(reason=f"no answer: {_describe(error)}")
+            return SentUnanswered(reason=f"no response: {_describe(error)}")
         finally:
-            # Without effect on a call that has ended; one whose caller was cancelled
-            # would go on without a limit.
+            # No effect on a completed call. A call whose caller was cancelled would
+            # otherwise continue without a timeout.
             future.cancel()
         return response, max(0.001, deadline - loop.time())
 
     def drop_idle_connections(self) -> None:
-        """Abort the idle connections; the next calls open new ones."""
+        """Close the idle connections; the next calls open new ones."""
         self._pool.closeCachedConnections()
 
     async def close(self) -> None:
-        """Close the idle connections."""
+        """Close the idle connections and wait until they are closed."""
         deferred = self._pool.closeCachedConnections()
         await deferred.asFuture(asyncio.get_running_loop())
 
--- a/src/firladder/_internal/network/http_limits.py
+++ b/src/firladder/_internal/network/http_limits.py
@@ -1,4 +1,4 @@
-"""Bound what a slow or hostile peer can take from a listener."""
+"""Limit the memory and connections that slow or hostile clients can use."""
 
 import asyncio
 import functools
@@ -14,29 +14,29 @@
 from ..utils.codec import encode_json
 
 MAX_BODY_BYTES = 256 * 1024
-"""Bytes of a body; a season's block of a squad is some tens of kilobytes."""
+"""Size of a request's body; the largest usual ones have some tens of kilobytes."""
 
 MAX_CONNECTIONS = 512
-"""Open connections a listener; each costs about 20 KB, so 10 MB at most."""
+"""Open connections of a listener; each costs about 20 KB, so 10 MB at most."""
 
 REQUEST_TIMEOUT_S = 30.0
-"""Seconds from a connection's start, or its last answer, to its next whole
-request. Counted over the whole request: a peer that sends a byte now and then
-is never idle, and would keep its place for ever."""
+"""Time from a connection's start, or its last response, to its next complete request.
+It covers the complete request, because a client that sends a byte now and then would
+never reach an idle timeout."""
 
 SWEEP_INTERVAL_S = 1.0
 
 
 class ConnectionTracker:
-    """The connections of a listener: who waits to send, and who is being served.
+    """The connections of a listener, idle (no complete request) or active.
 
-    Made for floods and slow senders: they fill all places without ever asking
-    for anything. A newcomer then takes the place of whoever has sent nothing
-    whole for longest; callers whose requests run are never cut for it.
+    Floods and slow senders use up all connections without completing a request. At
+    the limit, a new connection replaces the one that has been idle for longest; active
+    connections are never closed for it.
     """
 
     def __init__(self, *, max_connections: int, request_timeout_s: float) -> None:
-        """Hold at most ``max_connections`` connections."""
+        """Allow at most ``max_connections`` connections."""
         self._max_connections = max_connections
         self._request_timeout_s = request_timeout_s
         self._idle_since: dict[Any, float] = {}
@@ -44,11 +44,11 @@
         self.dropped = 0
 
     def count(self) -> int:
-        """Return the connections that are open."""
+        """Return the number of open connections."""
         return len(self._idle_since) + len(self._active)
 
     def admit(self) -> tuple[bool, Any | None]:
-        """Tell whether a newcomer may come in, and who must go for it."""
+        """Return whether a new connection may open, and which one to close for it."""
         if self.count() < self._max_connections:
             return True, None
         self.dropped += 1
@@ -59,32 +59,32 @@
         return True, longest_idle
 
     def mark_idle(self, connection: Any, now: float) -> None:
-        """Note that a connection is new, or has its answer."""
+        """Record that a connection is new, or that its response was sent."""
         self._active.discard(connection)
         self._idle_since[connection] = now
 
     def mark_active(self, connection: Any) -> None:
-        """Note that a whole request is in."""
+        """Record that a complete request has arrived."""
         if self._idle_since.pop(connection, None) is not None:
             self._active.add(connection)
 
     def remove(self, connection: Any) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self._idle_since.pop(connection, None)
         self._active.discard(connection)
 
     def pop_idle(self) -> list[Any]:
-        """Return, and forget, the connections without an open call."""
+        """Remove and return the idle connections."""
         idle = list(self._idle_since)
         self._idle_since.clear()
         return idle
 
     def count_active(self) -> int:
-        """Return the connections with an open call."""
+        """Return the number of active connections."""
         return len(self._active)
 
     def pop_expired(self, now: float) -> list[Any]:
-        """Return, and forget, the connections that took too long."""
+        """Remove and return the connections that reached the request timeout."""
         expired = [
             c for c, t in self._idle_since.items() if now - t > self._request_timeout_s
         ]
@@ -95,21 +95,21 @@
 
 
 class LimitedRequest(Request):
-    """A request that refuses an oversized body before it is read."""
+    """A request that rejects an oversized body before it is read."""
 
     max_body_bytes: ClassVar[int] = MAX_BODY_BYTES
     _received = 0
     _refused = False
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Refuse an announced length above the limit."""
+        """Reject an announced length above the limit."""
         if length is not None and length > self.max_body_bytes:
             self._refuse()
             length = 0
         super().gotLength(length)
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Keep a part of the body, unless there is too much of it."""
+        """Store a chunk of the body, unless the body exceeds the limit."""
         self._received += len(data)
         if self._received > self.max_body_bytes:
             self._refuse()
@@ -117,11 +117,11 @@
             super().handleContentChunk(data)
 
     def _refuse(self) -> None:
-        # A body without end would fill the memory of a 64 MB process, so the
-        # answer goes out at once. Only the sending half is closed: closing with
-        # unread bytes resets the connection, and a caller still sending would
-        # see a reset in place of the reason. What follows is dropped until the
-        # body ends or the patience is over.
+        # An endless body would fill the memory of a 64 MB process, so the response
+        # is sent at once. Only the sending half is closed: closing a connection with
+        # unread bytes resets it, and a client that still sends would see the reset
+        # instead of the reason. Further chunks are dropped until the body ends or
+        # the request times out.
         if self._refused or self.channel is None:
             return
         self._refused = True
@@ -137,24 +137,24 @@
         getattr(transport, "loseWriteConnection", transport.loseConnection)()
 
     def process(self) -> None:
-        """Hand a whole request on, unless it was refused."""
+        """Process a complete request, unless it was rejected."""
         if self._refused:
-            # The caller closes when it has read the end of the answer, or the
-            # patience is over.
+            # The client closes the connection when it has read the response, or the
+            # request timeout does.
             return
         self.channel.site.connection_tracker.mark_active(self.channel.transport)
         super().process()
 
     def finish(self) -> None:
-        """End the answer; the connection then waits for its next request."""
-        # Noted first: finishing may begin a request that was pipelined.
+        """Finish the response and mark the connection as idle."""
+        # Before finishing, which may start a pipelined request.
         if self.channel is not None:
             self.channel.site.record_response(self.channel.transport)
         super().finish()
 
 
 class LimitedSite(Site):
-    """A site that takes no more connections than its memory allows."""
+    """A site that limits its connections and the size of requests."""
 
     def __init__(
         self,
@@ -165,7 +165,7 @@
         request_timeout_s: float,
         read_clock: Callable[[], float],
     ) -> None:
-        """Serve ``resource`` within the limits given."""
+        """Serve ``resource`` within the limits."""
         limited = type(
             "LimitedRequest", (LimitedRequest,), {"max_body_bytes": max_body_bytes}
         )
@@ -176,7 +176,7 @@
         self._read_clock = read_clock
 
     def buildProtocol(self, addr: IAddress) -> IProtocol | None:  # noqa: N802
-        """Return a channel for a newcomer, or None, which closes it at once."""
+        """Return a channel for a new connection, or None, which closes it."""
         allowed, victim = self.connection_tracker.admit()
         if victim is not None:
             victim.abortConnection()
@@ -198,15 +198,15 @@
         return channel
 
     def record_response(self, transport: Any) -> None:
-        """Start the patience anew after an answer."""
+        """Restart the request timeout of a connection after a response."""
         self.connection_tracker.mark_idle(transport, self._read_clock())
 
     async def sweep(self) -> None:
-        """Close the connections that take too long, until cancelled."""
+        """Close connections that reach the request timeout, until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             for transport in self.connection_tracker.pop_expired(self._read_clock()):
                 transport.abortConnection()
 
     def log(self, request: http.Request) -> None:
-        """Leave access lines to the numbered events."""
+        """Write no access log; numbered events replace it."""
--- a/src/firladder/_internal/network/http_server.py
+++ b/src/firladder/_internal/network/http_server.py
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpCall:
-    """One call as a handler sees it; ``gone`` is set when its caller left."""
+    """One request to a handler; ``gone`` is set when its client disconnects."""
 
     method: str
     path: str
@@ -52,7 +52,7 @@
 
 
 class HttpReply(msgspec.Struct, frozen=True):
-    """A handler's answer."""
+    """A handler's response."""
 
     status: int
     body: bytes = b""
@@ -65,12 +65,12 @@
 
 
 def reply_json(value: Any, *, status: int = 200, **headers: str) -> HttpReply:
-    """Return a reply whose body is ``value`` as JSON."""
+    """Return a reply with ``value`` as its JSON body."""
     return HttpReply(status, encode_json(value), JSON, headers)
 
 
 def reply_failure(failure: Failure) -> HttpReply:
-    """Return the reply that tells a caller of a failure, typed."""
+    """Return the reply that reports a failure and its type."""
     headers = {}
     if failure.retry_after_s is not None:
         headers["Retry-After"] = str(max(1, round(failure.retry_after_s)))
@@ -78,21 +78,21 @@
 
 
 class Routes(Protocol):
-    """Finds the handler of a call."""
+    """Finds the handler of a request."""
 
     def find(self, method: str, path: str) -> tuple[Handler, dict[str, str]] | Failure:
         """Return the handler and its path parameters, or why there is none."""
 
 
 class RouteTable:
-    """A registry of handlers by method and path, filled by a decorator."""
+    """A registry of handlers by method and path."""
 
     def __init__(self) -> None:
         """Start empty."""
         self._routes: list[tuple[str, re.Pattern[str], Handler]] = []
 
     def route(self, method: str, template: str) -> Callable[[Handler], Handler]:
-        """Register a handler; ``{name}`` in the template matches one segment."""
+        """Return a decorator; ``{name}`` in the template matches one path segment."""
         pattern = re.compile(re.sub(r"\{(\w+)\}", r"(?P<\1>[^/]+)", template) + r"$")
 
         def register(handler: Handler) -> Handler:
@@ -114,7 +114,7 @@
 
 
 class _Root(Resource):
-    """Hand every path to the route table."""
+    """Pass all paths to the route table."""
 
     isLeaf = True  # noqa: N815
 
@@ -130,8 +130,8 @@
 
     async def _answer(self, request: Request) -> None:
         if request.channel is None:
-            # The connection was lost between the request and this task; its
-            # body is closed already.
+            # The connection was lost before this task started; the request's body
+            # is already closed.
             return
         gone = asyncio.Event()
         finished = request.notifyFinish()
@@ -144,8 +144,8 @@
         for name, value in reply.headers.items():
             request.setHeader(name, value)
         if getattr(self._app, "draining", False):
-            # A connection kept open would carry the next request into a
-            # process that is about to end.
+            # On a connection that stays open, the next request would reach a process
+            # that is about to exit.
             request.setHeader("Connection", "close")
         if reply.stream is not None:
             await _write_stream(request, reply.stream, gone)
@@ -174,9 +174,11 @@
         try:
             return await handler(self._app, call)
         except Exception:
-            # The caller still gets a typed answer; the log has the cause.
+            # The client still gets a typed failure; the log has the cause.
             logger.exception("handler of %s %s failed", call.method, path)
-            return reply_failure(InternalFault(reason="defect; see the log"))
+            return reply_failure(
+                InternalFault(reason="internal error; see the log of the process")
+            )
 
 
 async def _write_stream(
@@ -205,11 +207,11 @@
 
 
 FINISH_POLL_S = 0.02
-"""Seconds between looks at the calls that are still open."""
+"""Interval at which the open requests are polled while finishing."""
 
 
 class HttpServer:
-    """A listener that owns its port and the calls in flight."""
+    """A listener with its port and the requests in progress."""
 
     def __init__(
         self,
@@ -233,12 +235,12 @@
 
     @property
     def factory(self) -> Site:
-        """Return what makes a protocol for each connection."""
+        """Return the factory that makes a protocol for each connection."""
         return self._site
 
     @property
     def connection_tracker(self) -> ConnectionTracker:
-        """Return the connections that are open."""
+        """Return the tracker of the open connections."""
         return self._site.connection_tracker
 
     def listen(self, address: str) -> None:
@@ -248,22 +250,22 @@
         self._port = reactor.listenTCP(port, self._site, backlog=256, interface=host)
 
     async def stop_listening(self) -> None:
-        """Take no new connections; open calls go on."""
+        """Accept no new connections; open requests continue."""
         if self._port is None:
             return
         port, self._port = self._port, None
         if ignore_new_connections(port.socket):
-            # The reactor accepts what has come so far in the meantime.
+            # Meanwhile the reactor accepts the connections already established.
             await asyncio.sleep(HANDSHAKE_GRACE_S)
         deferred = port.stopListening()
         if deferred is not None:
             await deferred.asFuture(asyncio.get_running_loop())
 
     async def finish(self, *, within_s: float) -> None:
-        """Close the connections without an open call, and let open calls end.
+        """Close idle connections, and wait for open requests to complete.
 
-        A connection that is left open takes calls until the process is gone: one that
-        is read in its last moments would never be answered.
+        An open connection accepts requests until the process exits; one that arrives
+        just before that would never be answered.
         """
         end = time.monotonic() + within_s
         while True:
@@ -274,6 +276,6 @@
             await asyncio.sleep(FINISH_POLL_S)
 
     async def close(self) -> None:
-        """Stop listening and give up the calls that are still open."""
+        """Stop listening and cancel the open requests."""
         await self.stop_listening()
         await self._tasks.close()
--- a/src/firladder/_internal/network/listening.py
+++ b/src/firladder/_internal/network/listening.py
@@ -1,10 +1,10 @@
-"""Close a listening socket without resetting connections that are half made.
+"""Close a listening socket without resetting connections in its backlog.
 
-Between the last ``accept`` and the ``close`` of a listener, the kernel goes on
-completing connections into its backlog, and resets them all when the socket is
-closed: a caller who connected in that moment and sent a request sees it cut.
-A packet filter on the listener drops new connection attempts first; whoever
-tries then meets a closed port at the next attempt and goes to another gateway.
+Between the last ``accept`` and the ``close`` of a listener, the kernel keeps
+completing connections into the backlog, and resets them when the socket is closed. A
+client that connects in that moment and sends a request sees the reset. So a packet
+filter on the listener drops new connection attempts first; the client's next attempt
+finds a closed port, and it uses another gateway.
 """
 
 import ctypes
@@ -12,10 +12,10 @@
 import struct
 
 SO_ATTACH_FILTER = 26
-"""Number of the socket option on Linux; Python's ``socket`` does not name it."""
+"""Number of the socket option on Linux; Python's ``socket`` doesn't define it."""
 
 HANDSHAKE_GRACE_S = 0.1
-"""Seconds given to handshakes under way; clients are about 1 ms away."""
+"""Time for handshakes in progress; clients are about 1 ms away."""
 
 _TCP_FLAGS_OFFSET = 13
 _SYN = 0x02
@@ -31,11 +31,11 @@
     (_RETURN, 0, 0, 0),
     (_RETURN, 0, 0, _WHOLE_PACKET),
 )
-"""Classic packet filter: drop what has the SYN flag, let all else through."""
+"""Classic BPF program: drop packets with the SYN flag, accept all others."""
 
 
 def ignore_new_connections(listener: socket.socket) -> bool:
-    """Let the listener finish handshakes but begin none; tell if that worked."""
+    """Drop new connection attempts to the listener; return whether that worked."""
     code = b"".join(struct.pack("HBBI", *step) for step in _DROP_SYN)
     buffer = ctypes.create_string_buffer(code)
     program = struct.pack("HL", len(_DROP_SYN), ctypes.addressof(buffer))
