--- a/src/firladder/_internal/etcd/store.py
+++ b/src/firladder/_internal/etcd/store.py
@@ -148,24 +148,24 @@
         stall_timeout_s: float | None = None,
     ) -> HttpResponse | StoreFailure:
         self.calls += 1
-        answer = await self._http.call(
+        response = await self._http.call(
             "POST",
             f"{self._url}{path}",
             body=encode_json(body),
             timeout_s=timeout_s,
             stall_timeout_s=stall_timeout_s,
         )
-        if isinstance(answer, HttpResponse) and answer.status == 200:
+        if isinstance(response, HttpResponse) and response.status == 200:
             self.reachable = True
-            return answer
+            return response
         self.reachable = False
-        if isinstance(answer, HttpResponse):
-            if answer.status == 503:
+        if isinstance(response, HttpResponse):
+            if response.status == 503:
                 return StoreUnavailable(reason="the store refuses calls")
-            return StoreUncertain(reason=f"the store answered {answer.status}")
-        if isinstance(answer, NotSent):
-            return StoreUnavailable(reason=answer.reason)
-        return StoreUncertain(reason=answer.reason)
+            return StoreUncertain(reason=f"the store answered {response.status}")
+        if isinstance(response, NotSent):
+            return StoreUnavailable(reason=response.reason)
+        return StoreUncertain(reason=response.reason)
 
     async def range(self, prefix: str) -> Snapshot | StoreFailure:
         """Return all entries whose keys start with ``prefix``."""
@@ -184,10 +184,12 @@
         return found.entries[0] if found.entries else None
 
     async def _range(self, body: dict[str, Any]) -> Snapshot | StoreFailure:
-        answer = await self._call("/v3/kv/range", body, stall_timeout_s=STALL_TIMEOUT_S)
-        if not isinstance(answer, HttpResponse):
-            return answer
-        parsed = msgspec.json.decode(answer.body, type=RangeResponse)
+        response = await self._call(
+            "/v3/kv/range", body, stall_timeout_s=STALL_TIMEOUT_S
+        )
+        if not isinstance(response, HttpResponse):
+            return response
+        parsed = msgspec.json.decode(response.body, type=RangeResponse)
         return Snapshot(
             int(parsed.header.revision), tuple(_decode_entry(kv) for kv in parsed.kvs)
         )
@@ -212,10 +214,10 @@
             ],
             "success": [_encode_change(change) for change in changes],
         }
-        answer = await self._call("/v3/kv/txn", body, timeout_s=timeout_s)
-        if not isinstance(answer, HttpResponse):
-            return answer
-        parsed = msgspec.json.decode(answer.body, type=TxnResponse)
+        response = await self._call("/v3/kv/txn", body, timeout_s=timeout_s)
+        if not isinstance(response, HttpResponse):
+            return response
+        parsed = msgspec.json.decode(response.body, type=TxnResponse)
         if not parsed.succeeded:
             return StoreConflict(reason="a comparison did not hold")
         return Committed(int(parsed.header.revision))
@@ -224,25 +226,25 @@
         self, ttl_s: int, *, timeout_s: float = CALL_TIMEOUT_S
     ) -> Lease | StoreFailure:
         """Return a new lease of about ``ttl_s`` seconds."""
-        answer = await self._call(
+        response = await self._call(
             "/v3/lease/grant", {"TTL": str(ttl_s)}, timeout_s=timeout_s
         )
-        if not isinstance(answer, HttpResponse):
-            return answer
-        parsed = msgspec.json.decode(answer.body, type=LeaseGrantResponse)
+        if not isinstance(response, HttpResponse):
+            return response
+        parsed = msgspec.json.decode(response.body, type=LeaseGrantResponse)
         return Lease(int(parsed.ID), float(parsed.TTL))
 
     async def renew_lease(
         self, lease: Lease, *, timeout_s: float
     ) -> Lease | StoreConflict | StoreFailure:
         """Renew a lease; ``StoreConflict`` means that it has expired."""
-        answer = await self._call(
+        response = await self._call(
             "/v3/lease/keepalive", {"ID": str(lease.id)}, timeout_s=timeout_s
         )
-        if not isinstance(answer, HttpResponse):
-            return answer
+        if not isinstance(response, HttpResponse):
+            return response
         ttl_s = float(
-            msgspec.json.decode(answer.body, type=KeepAliveResponse).result.TTL
+            msgspec.json.decode(response.body, type=KeepAliveResponse).result.TTL
         )
         if ttl_s <= 0:
             return StoreConflict(reason="the lease has expired")
@@ -250,8 +252,8 @@
 
     async def revoke_lease(self, lease: Lease) -> StoreFailure | None:
         """Revoke a lease, which removes all keys bound to it."""
-        answer = await self._call("/v3/lease/revoke", {"ID": str(lease.id)})
-        return None if isinstance(answer, HttpResponse) else answer
+        response = await self._call("/v3/lease/revoke", {"ID": str(lease.id)})
+        return None if isinstance(response, HttpResponse) else response
 
     async def watch(
         self, prefix: str, *, after: int
--- a/src/firladder/_internal/etcd/targets.py
+++ b/src/firladder/_internal/etcd/targets.py
@@ -47,32 +47,32 @@
     ) -> TargetResponse | NotSent | SentUnanswered:
         """Send a request; return its complete response, or how far the call got."""
         http = self._pooled if idempotent else self._unpooled
-        answer = await http.call(
+        response = await http.call(
             "POST",
             f"http://{address}/{service}",
             body=body,
             headers={REQUEST_ID_HEADER: request_id},
             timeout_s=timeout_s,
         )
-        if not isinstance(answer, HttpResponse):
-            return answer
-        if answer.headers.get(REQUEST_ID_HEADER) != request_id:
+        if not isinstance(response, HttpResponse):
+            return response
+        if response.headers.get(REQUEST_ID_HEADER) != request_id:
             # A target that mixes up its responses would send one client's result to
             # another. The echoed id reveals that.
             return SentUnanswered(reason="the response belongs to another request")
-        if answer.status == 503 and answer.headers.get("x-not-run") == "1":
+        if response.status == 503 and response.headers.get("x-not-run") == "1":
             return NotSent(reason="the target refused the request")
-        return TargetResponse(answer.status, answer.body)
+        return TargetResponse(response.status, response.body)
 
     async def check(self, address: str) -> TargetHealth | NotSent | SentUnanswered:
         """Return the state of a target, which says whether it is leaving."""
-        answer = await self._pooled.call(
+        response = await self._pooled.call(
             "GET", f"http://{address}/health", timeout_s=HEALTH_TIMEOUT_S
         )
-        if not isinstance(answer, HttpResponse):
-            return answer
+        if not isinstance(response, HttpResponse):
+            return response
         try:
-            return msgspec.json.decode(answer.body, type=TargetHealth)
+            return msgspec.json.decode(response.body, type=TargetHealth)
         except msgspec.DecodeError as error:
             return SentUnanswered(reason=f"cannot decode response: {error}")
 
--- a/src/firladder/_internal/etcd/workers.py
+++ b/src/firladder/_internal/etcd/workers.py
@@ -72,35 +72,35 @@
         self, address: str, *, since: int, wait_s: float
     ) -> TaskReport | WorkerFailure:
         """Return the tasks that changed after ``since``, waiting up to ``wait_s``."""
-        answer = await self._http.call(
+        response = await self._http.call(
             "GET",
             f"http://{address}/tasks?since={since}&wait_s={wait_s}",
             timeout_s=wait_s + CALL_TIMEOUT_S,
         )
-        return _decode(answer, TaskReport)
+        return _decode(response, TaskReport)
 
     async def _post(
         self, address: str, path: str, req: msgspec.Struct, type_: type[T]
     ) -> T | WorkerFailure:
-        answer = await self._http.call(
+        response = await self._http.call(
             "POST",
             f"http://{address}{path}",
             body=encode_json(req),
             timeout_s=CALL_TIMEOUT_S,
         )
-        return _decode(answer, type_)
+        return _decode(response, type_)
 
 
-def _decode(answer: HttpResponse | object, type_: type[T]) -> T | WorkerFailure:
-    if not isinstance(answer, HttpResponse):
-        sent = not isinstance(answer, NotSent)
-        reason = getattr(answer, "reason", "")
+def _decode(response: HttpResponse | object, type_: type[T]) -> T | WorkerFailure:
+    if not isinstance(response, HttpResponse):
+        sent = not isinstance(response, NotSent)
+        reason = getattr(response, "reason", "")
         return WorkerUnreachable(reason=reason, field="sent" if sent else None)
-    if answer.status == 409:
+    if response.status == 409:
         return FencedOff(reason="the worker obeys a higher epoch")
-    if answer.status != 200:
-        return WorkerUnreachable(reason=f"the worker answered {answer.status}")
+    if response.status != 200:
+        return WorkerUnreachable(reason=f"the worker answered {response.status}")
     try:
-        return msgspec.json.decode(answer.body, type=type_)
+        return msgspec.json.decode(response.body, type=type_)
     except msgspec.DecodeError as error:
         return WorkerUnreachable(reason=f"cannot decode response: {error}")
--- a/src/firladder/_internal/platform/store.py
+++ b/src/firladder/_internal/platform/store.py
@@ -169,12 +169,14 @@
         self, key: str, *, timeout_s: float = CALL_TIMEOUT_S
     ) -> Item | NotFound | StoreUnavailable | StoreUncertain:
         """Return the item under ``key``."""
-        answer = await self._call("GET", "/-/kv-key", {"key": key}, timeout_s=timeout_s)
-        if not isinstance(answer, HttpResponse):
-            return answer
-        if answer.status == 404:
+        response = await self._call(
+            "GET", "/-/kv-key", {"key": key}, timeout_s=timeout_s
+        )
+        if not isinstance(response, HttpResponse):
+            return response
+        if response.status == 404:
             return NotFound(reason="no such key", field=key)
-        found = self._decode(answer, _Item)
+        found = self._decode(response, _Item)
         return _convert(found) if isinstance(found, _Item) else found
 
     async def read_range(
@@ -185,16 +187,16 @@
         revision: int | None = None
         query = {"prefix": prefix}
         while True:
-            answer = await self._call(
+            response = await self._call(
                 "GET",
                 "/-/kv-range",
                 query,
                 timeout_s=PAGE_START_TIMEOUT_S,
                 stall_timeout_s=STALL_TIMEOUT_S,
             )
-            if not isinstance(answer, HttpResponse):
-                return answer
-            page = self._decode(answer, _Range)
+            if not isinstance(response, HttpResponse):
+                return response
+            page = self._decode(response, _Range)
             if not isinstance(page, _Range):
                 return page
             items += map(_convert, page.items)
@@ -222,7 +224,7 @@
             "after": str(after),
             "wait_ms": str(int(wait_s * 1000)),
         }
-        answer = await self._call(
+        response = await self._call(
             "GET",
             "/-/kv-watch",
             query,
@@ -230,13 +232,13 @@
             stall_timeout_s=STALL_TIMEOUT_S,
             max_bytes=max_bytes,
         )
-        if isinstance(answer, StoreAnswerTooLarge):
-            return HistoryLost(reason=answer.reason)
-        if not isinstance(answer, HttpResponse):
-            return answer
-        if answer.status == 410:
+        if isinstance(response, StoreAnswerTooLarge):
+            return HistoryLost(reason=response.reason)
+        if not isinstance(response, HttpResponse):
+            return response
+        if response.status == 410:
             return HistoryLost(reason=f"history after {after} is gone")
-        found = self._decode(answer, _Events)
+        found = self._decode(response, _Events)
         if not isinstance(found, _Events):
             return found
         changes = (
@@ -270,19 +272,19 @@
             ],
             "remove": list(remove),
         }
-        answer = await self._call(
+        response = await self._call(
             "POST", "/-/kv-txn", body=encode_json(body), timeout_s=timeout_s
         )
-        if not isinstance(answer, HttpResponse):
-            return answer
-        if answer.status == 404:
+        if not isinstance(response, HttpResponse):
+            return response
+        if response.status == 404:
             return LeaseEnded(reason="the lease of a written key has ended")
-        if answer.status == 412:
-            held = self._decode(answer, _Items, status=412)
+        if response.status == 412:
+            held = self._decode(response, _Items, status=412)
             if not isinstance(held, _Items):
                 return held
             return Conflict(tuple(map(_convert, held.items)))
-        done = self._decode(answer, _Revision)
+        done = self._decode(response, _Revision)
         return done.revision if isinstance(done, _Revision) else done
 
     async def grant_lease(
@@ -290,31 +292,31 @@
     ) -> int | StoreUnavailable | StoreUncertain:
         """Return a new lease that expires ``ttl_s`` after its last renewal."""
         body = encode_json({"ttl_ms": int(ttl_s * 1000)})
-        answer = await self._call("POST", "/-/kv-lease", body=body)
-        if not isinstance(answer, HttpResponse):
-            return answer
-        found = self._decode(answer, _Lease)
+        response = await self._call("POST", "/-/kv-lease", body=body)
+        if not isinstance(response, HttpResponse):
+            return response
+        found = self._decode(response, _Lease)
         return found.lease if isinstance(found, _Lease) else found
 
     async def renew_lease(
         self, lease: int, *, timeout_s: float
     ) -> None | LeaseEnded | StoreUnavailable | StoreUncertain:
         """Renew a lease; return None on success."""
-        answer = await self._call("POST", f"/-/kv-keep/{lease}", timeout_s=timeout_s)
-        if not isinstance(answer, HttpResponse):
-            return answer
-        if answer.status == 404:
+        response = await self._call("POST", f"/-/kv-keep/{lease}", timeout_s=timeout_s)
+        if not isinstance(response, HttpResponse):
+            return response
+        if response.status == 404:
             return LeaseEnded(reason="the lease has ended")
-        if answer.status == 200:
+        if response.status == 200:
             return None
-        return StoreUncertain(reason=f"unexpected status {answer.status}")
+        return StoreUncertain(reason=f"unexpected status {response.status}")
 
     async def end_lease(self, lease: int) -> StoreConflict | None:
         """Revoke a lease and remove its keys; after a failure it expires by itself."""
-        answer = await self._call("DELETE", f"/-/kv-lease-end/{lease}")
-        if isinstance(answer, HttpResponse) and answer.status in (200, 204, 404):
+        response = await self._call("DELETE", f"/-/kv-lease-end/{lease}")
+        if isinstance(response, HttpResponse) and response.status in (200, 204, 404):
             return None
-        return StoreConflict(reason=f"cannot revoke the lease: {answer}")
+        return StoreConflict(reason=f"cannot revoke the lease: {response}")
 
     async def _call(
         self,
@@ -332,7 +334,7 @@
         if query:
             url += "?" + urlencode(query)
         chunks_before = self._http.chunks_received
-        answer = await self._http.call(
+        response = await self._http.call(
             method,
             url,
             body=body,
@@ -340,27 +342,27 @@
             stall_timeout_s=stall_timeout_s,
             max_bytes=max_bytes,
         )
-        if isinstance(answer, AnswerTooLarge):
-            return StoreAnswerTooLarge(reason=answer.reason)
-        if isinstance(answer, NotSent | SentUnanswered):
+        if isinstance(response, AnswerTooLarge):
+            return StoreAnswerTooLarge(reason=response.reason)
+        if isinstance(response, NotSent | SentUnanswered):
             # A call that queues behind a large response on a slow link may time out.
             # As long as that response arrives, the store is reachable.
             if self._http.chunks_received == chunks_before:
-                self._mark_unreachable(answer.reason)
+                self._mark_unreachable(response.reason)
                 # Idle connections may be dead without a reset. Each of them would
                 # cost one call its whole timeout.
                 self._http.drop_idle_connections()
-            kind = StoreUnavailable if isinstance(answer, NotSent) else StoreUncertain
-            return kind(reason=answer.reason)
-        if answer.status in (429, 503):
+            kind = StoreUnavailable if isinstance(response, NotSent) else StoreUncertain
+            return kind(reason=response.reason)
+        if response.status in (429, 503):
             # With these statuses the store guarantees that nothing was written.
-            refusal = StoreUnavailable(reason=f"refused with status {answer.status}")
+            refusal = StoreUnavailable(reason=f"refused with status {response.status}")
             self._mark_unreachable(refusal.reason)
             return refusal
         if not self.reachable:
             self.reachable = True
             self.on_reachability_change(True, "")
-        return answer
+        return response
 
     def _mark_unreachable(self, reason: str) -> None:
         if self.reachable:
@@ -369,17 +371,17 @@
             self.on_reachability_change(False, reason)
 
     def _decode(
-        self, answer: HttpResponse, type_: type[T], *, status: int = 200
+        self, response: HttpResponse, type_: type[T], *, status: int = 200
     ) -> T | StoreUncertain:
-        if answer.status != status:
+        if response.status != status:
             logger.warning(
                 "unexpected status %d from the store: %r",
-                answer.status,
-                answer.body[:200],
+                response.status,
+                response.body[:200],
             )
-            return StoreUncertain(reason=f"unexpected status {answer.status}")
+            return StoreUncertain(reason=f"unexpected status {response.status}")
         try:
-            return msgspec.json.decode(answer.body, type=type_)
+            return msgspec.json.decode(response.body, type=type_)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             logger.warning("cannot decode the store's response: %s", error)
             return StoreUncertain(reason=f"cannot decode response: {error}")
--- a/src/firladder/_internal/platform/workers.py
+++ b/src/firladder/_internal/platform/workers.py
@@ -131,11 +131,11 @@
             body["deadline_ms"] = int(deadline_s * 1000)
         if wait_s:
             body["wait_ms"] = int(min(wait_s, MAX_WAIT_S) * 1000)
-        answer = await self._call(worker_id, address, "/-/hold", body, timeout_s)
-        if not isinstance(answer, HttpResponse):
-            return answer
+        response = await self._call(worker_id, address, "/-/hold", body, timeout_s)
+        if not isinstance(response, HttpResponse):
+            return response
         try:
-            wire = msgspec.json.decode(answer.body, type=_PollReply)
+            wire = msgspec.json.decode(response.body, type=_PollReply)
             return WorkerReport(
                 wire.clock_ms / 1000,
                 tuple(filter(None, map(_convert_running, wire.running))),
@@ -153,7 +153,7 @@
         send_within_s: float,
         timeout_s: float,
     ) -> float | OrderFailure:
-        answer = await self._call(
+        response = await self._call(
             order.worker_id,
             order.address,
             path,
@@ -161,10 +161,10 @@
             timeout_s,
             send_within_s=send_within_s,
         )
-        if not isinstance(answer, HttpResponse):
-            return answer
+        if not isinstance(response, HttpResponse):
+            return response
         try:
-            return msgspec.json.decode(answer.body, type=_OrderReply).clock_ms / 1000
+            return msgspec.json.decode(response.body, type=_OrderReply).clock_ms / 1000
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             logger.warning(
                 "worker %s: cannot decode response: %s", order.worker_id, error
@@ -182,7 +182,7 @@
         send_within_s: float | None = None,
     ) -> HttpResponse | OrderFailure:
         self.calls += 1
-        answer = await self._http.call(
+        response = await self._http.call(
             "POST",
             f"http://{address}{path}",
             body=encode_json(body),
@@ -190,28 +190,28 @@
             timeout_s=timeout_s,
             send_within_s=send_within_s,
         )
-        if not isinstance(answer, HttpResponse):
-            return answer
-        if answer.status == 200:
-            return answer
-        return _classify_refusal(answer)
+        if not isinstance(response, HttpResponse):
+            return response
+        if response.status == 200:
+            return response
+        return _classify_refusal(response)
 
 
-def _classify_refusal(answer: HttpResponse) -> OrderFailure:
-    if answer.status == 421:
+def _classify_refusal(response: HttpResponse) -> OrderFailure:
+    if response.status == 421:
         return WorkerReplaced(reason="another incarnation answers at this address")
-    if answer.status in (429, 503):
-        return WorkerRefused(reason=f"refused with status {answer.status}")
+    if response.status in (429, 503):
+        return WorkerRefused(reason=f"refused with status {response.status}")
     try:
-        reason = msgspec.json.decode(answer.body, type=_OrderReply).reason
+        reason = msgspec.json.decode(response.body, type=_OrderReply).reason
     except (msgspec.DecodeError, UnicodeDecodeError):
         reason = ""
     rejection = _REJECTIONS.get(reason, "other")
-    if answer.status == 409 and rejection == "fenced":
+    if response.status == 409 and rejection == "fenced":
         return FencedOff(reason="the worker knows a higher fencing token")
-    if answer.status in (400, 404, 409):
-        return OrderRejected(reason=f"{answer.status} {reason}", rejection=rejection)
-    return SentUnanswered(reason=f"unexpected status {answer.status}")
+    if response.status in (400, 404, 409):
+        return OrderRejected(reason=f"{response.status} {reason}", rejection=rejection)
+    return SentUnanswered(reason=f"unexpected status {response.status}")
 
 
 def _convert_running(row: list[Any]) -> RunningTask | None:
