--- a/features/steps/network_answers_steps.py
+++ b/features/steps/network_answers_steps.py
@@ -21,11 +21,11 @@
 from firladder._internal.platform.store import PlatformStore
 from firladder._internal.utils.clocks import SystemClock
 
-PART = b"x" * 1000
+CHUNK = b"x" * 1000
 
 
 def play(context, work):
-    """Run a coroutine on the event loop that twisted's reactor shares."""
+    """Run a coroutine on the event loop that twisted's reactor uses."""
     from twisted.internet import reactor
 
     if not reactor.running:
@@ -33,14 +33,14 @@
     return asyncio.get_event_loop().run_until_complete(work)
 
 
-class PartServer:
-    """Answers each call with parts, some time apart."""
+class ChunkServer:
+    """Responds to each call with chunks at equal intervals."""
 
-    def __init__(self, parts, takes_s, silent_path=b" none ", first=b""):
+    def __init__(self, chunks, takes_s, silent_path=b" none ", first=b""):
         self.first = first
         self.silent_path = silent_path
-        self.parts = parts
-        self.gap_s = takes_s / parts
+        self.chunks = chunks
+        self.gap_s = takes_s / chunks
         self.closed = asyncio.Event()
 
     async def start(self):
@@ -52,7 +52,7 @@
         if self.silent_path in request:
             await reader.read()
             return
-        length = self.parts * len(PART)
+        length = self.chunks * len(CHUNK)
         writer.write(f"HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n".encode())
         sending = asyncio.ensure_future(self.send(writer))
         await reader.read()
@@ -61,20 +61,20 @@
         writer.close()
 
     async def send(self, writer):
-        # The first part has the content, the others are blanks behind it.
-        for number in range(self.parts):
+        # The first chunk has the content, padded with blanks; the others are blank.
+        for number in range(self.chunks):
             await asyncio.sleep(self.gap_s)
-            part = self.first if number == 0 else b""
-            writer.write(part.ljust(len(PART)))
+            chunk = self.first if number == 0 else b""
+            writer.write(chunk.ljust(len(CHUNK)))
 
 
-@given("a server whose answer of {parts:d} parts takes {takes:d} s")
-def start_server(context, parts, takes):
-    context.server = PartServer(parts, takes)
+@given("a server whose response of {chunks:d} chunks takes {takes:d} s")
+def start_server(context, chunks, takes):
+    context.server = ChunkServer(chunks, takes)
     play(context, context.server.start())
 
 
-@when("it is called with {limit:f} s for the answer")
+@when("it is called with {limit:f} s for the response")
 def call_server(context, limit):
     context.http = HttpClient()
     call_with(context, timeout_s=limit)
@@ -105,25 +105,25 @@
 
 
 @when(
-    "it is called with {limit:f} s for the answer to begin "
-    "and {stall:f} s between its parts"
+    "it is called with {limit:f} s for the response to begin "
+    "and {stall:f} s between its chunks"
 )
-def call_server_for_parts(context, limit, stall):
+def call_server_for_chunks(context, limit, stall):
     context.http = HttpClient()
     call_with(context, timeout_s=limit, stall_timeout_s=stall)
 
 
-@when("it is called for at most {most:d} bytes")
-def call_server_for_little(context, most):
+@when("it is called for at most {max_bytes:d} bytes")
+def call_server_with_limit(context, max_bytes):
     context.http = HttpClient()
-    call_with(context, timeout_s=2.0, max_bytes=most)
+    call_with(context, timeout_s=2.0, max_bytes=max_bytes)
 
 
 @given(
-    "a store whose listing takes {takes:d} s to arrive and that does not answer else"
+    "a store whose listing takes {takes:d} s to arrive and that answers no other call"
 )
 def start_store(context, takes):
-    context.server = PartServer(20, takes, silent_path=b"/-/kv-key")
+    context.server = ChunkServer(20, takes, silent_path=b"/-/kv-key")
     play(context, context.server.start())
     context.store = PlatformStore(
         address=f"127.0.0.1:{context.server.port}",
@@ -161,8 +161,8 @@
     assert not context.reachable
 
 
-class SilencedServer:
-    """Answers that nothing is stored, until its open connections are silenced."""
+class DeadConnectionServer:
+    """Answers 404, except on connections that are silenced."""
 
     def __init__(self):
         self.connections = 0
@@ -186,9 +186,9 @@
                 writer.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 
 
-@given("a store with {count:d} idle connections that have all fallen silent")
+@given("a store with {count:d} idle connections that are all dead")
 def silence_connections(context, count):
-    context.server = SilencedServer()
+    context.server = DeadConnectionServer()
     play(context, context.server.start())
     context.store = PlatformStore(
         address=f"127.0.0.1:{context.server.port}",
@@ -216,26 +216,26 @@
     play(context, read())
 
 
-@then("at most {most:d} read was lost")
-def check_lost(context, most):
-    assert context.lost <= most, context.lost
+@then("at most {limit:d} read was lost")
+def check_lost(context, limit):
+    assert context.lost <= limit, context.lost
 
 
-@given("a store of the product's own whose listing takes {takes:d} s to arrive")
-def start_own_store(context, takes):
-    context.server = PartServer(30, takes, first=b'{"header": {"revision": "7"}}')
+@given("an etcd store whose listing takes {takes:d} s to arrive")
+def start_etcd_store(context, takes):
+    context.server = ChunkServer(30, takes, first=b'{"header": {"revision": "7"}}')
     play(context, context.server.start())
 
 
-@when("the product's own store is listed")
-def list_own_store(context):
+@when("the etcd store is listed")
+def list_etcd_store(context):
     store = StoreClient(
         url=f"http://127.0.0.1:{context.server.port}", http=HttpClient()
     )
     context.result = play(context, store.range("firladder/"))
 
 
-@then("the listing is whole")
+@then("the listing is complete")
 def check_listing(context):
     assert isinstance(context.result, Snapshot), context.result
     assert context.result.revision == 7
@@ -245,7 +245,7 @@
 
 
 class SlowApp:
-    """Serves one call that takes a while, and others at once."""
+    """Answers slow calls after a delay, and others at once."""
 
     def __init__(self, takes_s):
         self.takes_s = takes_s
@@ -262,8 +262,8 @@
     return reply_json({"answered": True})
 
 
-class Caller:
-    """An open connection; notes when it was answered and when it was closed."""
+class Connection:
+    """An open connection; records when it was answered and closed."""
 
     async def start(self, port, path):
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
@@ -281,7 +281,7 @@
 @given("a listener with an idle connection and a call that takes {takes:f} s")
 def start_listener(context, takes):
     context.listener = HttpServer(SlowApp(takes), FINISHING)
-    context.idle, context.slow = Caller(), Caller()
+    context.idle, context.slow = Connection(), Connection()
 
     async def start():
         with socket.socket() as probe:
@@ -319,13 +319,13 @@
     assert context.slow.answered_at is not None
 
 
-@given("a server that takes no connections")
+@given("a server that accepts no connections")
 def start_full_server(context):
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     context.add_cleanup(listener.close)
     context.listener = listener
     address = listener.getsockname()
-    # The queue of new connections is full when one of these does not get through.
+    # The backlog is full when one of these connections times out.
     for _ in range(8):
         filler = socket.socket()
         context.add_cleanup(filler.close)
@@ -334,27 +334,27 @@
             filler.connect(address)
         except TimeoutError:
             return
-    raise AssertionError("the queue never fills")
+    raise AssertionError("the backlog never fills")
 
 
-@when("it is called with {leave:f} s to leave and {limit:f} s for the answer")
-def call_full_server(context, leave, limit):
+@when("it is called with {send:f} s to be sent and {limit:f} s for the response")
+def call_full_server(context, send, limit):
     context.http = HttpClient()
     url = f"http://127.0.0.1:{context.listener.getsockname()[1]}/"
-    limits = {"send_within_s": leave, "timeout_s": limit}
+    limits = {"send_within_s": send, "timeout_s": limit}
     began = time.monotonic()
     call = context.http.call("POST", url, body=b"{}", **limits)
     context.result = play(context, call)
     context.spent_s = time.monotonic() - began
 
 
-@then("nothing arrives when the server takes connections again")
+@then("nothing arrives when the server accepts connections again")
 def check_nothing(context):
     listener, received = context.listener, []
     listener.settimeout(0.1)
 
     async def take_connections():
-        """Let the reactor run meanwhile: only it can send what is left."""
+        """Accept connections while the reactor runs, which could send the request."""
         until = time.monotonic() + 1.5
         taken = []
         while time.monotonic() < until:
--- a/features/steps/platform_cut_steps.py
+++ b/features/steps/platform_cut_steps.py
@@ -17,12 +17,12 @@
 def start_domains(context, domains):
     names = tuple(f"domain-{n}" for n in range(domains))
     start_platform(context, nodes=domains, domains=names)
-    # Nodes learn each other's failure domain by their greetings.
+    # Nodes learn each other's failure domains from heartbeats.
     time.sleep(2.0)
 
 
-@when("node {node:d} is cut off from the store and from the other domain")
-def cut_off(context, node):
+@when("node {node:d} is partitioned from the store and the other domain")
+def partition_node(context, node):
     site = context.platform
     site.set_store_faults(turned_away=[site.ips[node]])
     other = site.nodes[1 - node]
@@ -37,7 +37,7 @@
     wait_for(lambda: not context.platform.is_ready(ip), seconds, "not ready")
 
 
-@then("node {node:d} answers a submission within {seconds:f} s, with when to come back")
+@then("node {node:d} answers a submission within {seconds:f} s, with a time to retry")
 def check_refused(context, node, seconds):
     site = context.platform
     context.job = uuid.uuid4().hex[:16]
@@ -64,7 +64,7 @@
     assert context.response.getheader("Connection", "").lower() == "close"
 
 
-@when("node {node:d} is connected again")
+@when("node {node:d} is reconnected")
 def connect(context, node):
     context.stopped.process.send_signal(signal.SIGCONT)
     context.platform.set_store_faults()
@@ -76,7 +76,7 @@
     wait_for(lambda: context.platform.is_ready(ip), seconds, "ready")
 
 
-@then("the same submission is taken by node {node:d}, and its job completed once")
+@then("the same submission is accepted by node {node:d}, and its job completed once")
 def check_taken(context, node):
     site, path = context.platform, f"/q1/{context.job}"
     wait_for(lambda: site.ask("POST", path, JOB, node=node)[0] == 200, 5, "taken")
--- a/features/steps/platform_path_steps.py
+++ b/features/steps/platform_path_steps.py
@@ -40,7 +40,7 @@
     return answer["state"] if status == 200 else status
 
 
-def live_nodes(context):
+def list_live_nodes(context):
     site = context.platform
     return [
         n for n, c in enumerate(site.nodes[: len(site.ips)]) if c.process.poll() is None
@@ -59,7 +59,7 @@
 
 @then('every node shows it as "{state}" within {seconds:d} s')
 def check_state(context, state, seconds):
-    for node in live_nodes(context):
+    for node in list_live_nodes(context):
         wait_for(
             lambda node=node: read_state(context, context.job, node) == state,
             seconds,
@@ -79,13 +79,13 @@
 def submit_again(context, takes):
     job_id = make_id()
     with concurrent.futures.ThreadPoolExecutor(2) as pool:
-        tries = [
+        submissions = [
             pool.submit(
                 submit, context, [make_step()], takes_s=takes, node=node, job_id=job_id
             )
             for node in (0, 1)
         ]
-        context.statuses = [t.result() for t in tries]
+        context.statuses = [t.result() for t in submissions]
     wait_for(lambda: read_state(context, job_id) == "completed", 15, "completed")
     context.statuses.append(submit(context, [make_step()], job_id=job_id, node=1))
     time.sleep(1.0)
@@ -96,9 +96,9 @@
     assert set(context.statuses) == {200}, context.statuses
 
 
-@given("a client has submitted a job of {count:d} task of {takes:f} s that is at work")
-@given("a client has submitted a job of {count:d} tasks of {takes:f} s that is at work")
-def submit_at_work(context, count, takes):
+@given("a client has submitted a job of {count:d} task of {takes:f} s that is running")
+@given("a client has submitted a job of {count:d} tasks of {takes:f} s that is running")
+def submit_running(context, count, takes):
     assert submit(context, [make_step(count)], takes_s=takes) == 200
     context.first = context.job
     wait_for(lambda: find_running(context, context.job), 10, "at work")
@@ -120,10 +120,10 @@
     wait_for(lambda: not find_running(context, context.job), seconds, "stopped")
 
 
-@when("clients send what cannot be taken")
-def send_wrong(context):
+@when("clients send invalid requests")
+def send_invalid(context):
     context.before = len(context.platform.read_ledger()["starts"])
-    context.wrong = []
+    context.refusals = []
     for row in context.table:
         connection = http.client.HTTPConnection(
             context.platform.ips[0], context.platform.front, timeout=5
@@ -136,27 +136,27 @@
         response = connection.getresponse()
         raw = response.read()
         kind = json.loads(raw).get("type") if raw else None
-        context.wrong.append((dict(row.items()), response.status, kind))
+        context.refusals.append((dict(row.items()), response.status, kind))
         connection.close()
 
 
 @then("each is answered as listed, and nothing has started")
-def check_wrong(context):
-    for row, status, kind in context.wrong:
+def check_refusals(context):
+    for row, status, kind in context.refusals:
         assert status == int(row["status"]), (row, status, kind)
         assert kind, row
     assert len(context.platform.read_ledger()["starts"]) == context.before
 
 
-@when("a client submits {count:d} jobs that fit nowhere")
+@when("a client submits {count:d} jobs that fit on no worker")
 def submit_unfit(context, count):
     for _ in range(count):
         assert submit(context, [make_step(1, 64)], queue="q2") == 200
 
 
-@then("every node tells that {count:d} jobs of that queue wait")
+@then("every node reports that {count:d} jobs of that queue wait")
 def check_pending(context, count):
-    for node in live_nodes(context):
+    for node in list_live_nodes(context):
         wait_for(
             lambda node=node: (
                 context.platform.ask("GET", "/q2/", node=node)
@@ -167,8 +167,8 @@
         )
 
 
-@when("unreadable entries are written beside all others")
-def write_unreadable(context):
+@when("invalid entries are written beside valid ones")
+def write_invalid(context):
     site = context.platform
     context.written = {
         "servers/i-none": {"backend": "pool-a"},
@@ -192,7 +192,7 @@
 @when("a client submits a job of 1 task of {takes:f} s")
 @when("a client submits another job of 1 task of {takes:f} s")
 def submit_one(context, takes):
-    submit(context, [make_step()], takes_s=takes, node=live_nodes(context)[0])
+    submit(context, [make_step()], takes_s=takes, node=list_live_nodes(context)[0])
 
 
 @when("a client submits a job of 1 task of {takes:f} s at node {node:d}")
@@ -200,8 +200,8 @@
     assert submit(context, [make_step()], takes_s=takes, node=node) == 200
 
 
-@then("each entry was left out with a line in the log")
-def check_left_out(context):
+@then("each invalid entry was skipped and logged")
+def check_skipped(context):
     logs = context.platform.read_logs()
     for key in context.written:
         if key.startswith("servers/"):
@@ -209,13 +209,13 @@
     assert "stored job left out" in logs
 
 
-@given("the store turns node {node:d} away")
-def turn_away(context, node):
+@given("the store rejects the calls of node {node:d}")
+def reject_node(context, node):
     context.platform.set_store_faults(turned_away=[context.platform.ips[node]])
     context.add_cleanup(context.platform.set_store_faults)
 
 
-@when("the operators take the key away")
+@when("the operators revoke the key")
 def revoke(context):
     site = context.platform
     site.configuration["version"] += 1
@@ -226,7 +226,7 @@
         site.configuration["version"] += 1
         site.configuration["tenants"][0]["api_keys"] = [KEY]
         site.configure()
-        for node in live_nodes(context):
+        for node in list_live_nodes(context):
             wait_for(lambda n=node: read_state(context, "0" * 16, n) != 401, 10, "key")
 
     context.add_cleanup(restore)
@@ -237,20 +237,20 @@
     wait_for(lambda: read_state(context, "0" * 16, node) == 401, seconds, "401")
 
 
-@given("the store answers nothing")
+@given("the store does not respond")
 def silence(context):
     context.platform.set_store_faults(silent=True)
-    context.add_cleanup(heal, context)
+    context.add_cleanup(clear_store_faults, context)
 
 
-@given("the store turns everyone away")
+@given("the store rejects all calls")
 def make_busy(context):
     context.platform.set_store_faults(busy=True)
-    context.add_cleanup(heal, context)
+    context.add_cleanup(clear_store_faults, context)
 
 
-@when("the store answers again")
-def heal(context):
+@when("the store responds again")
+def clear_store_faults(context):
     context.platform.set_store_faults()
     wait_for(lambda: context.platform.find_leader() is not None, 15, "a leader")
 
@@ -270,7 +270,7 @@
         check_state(context, "completed", 15)
 
 
-@then("it is answered {status:d} within {seconds:d} s with when to come back")
+@then("it is answered {status:d} within {seconds:d} s with a time to retry")
 def check_refused(context, status, seconds):
     assert context.status == status, (context.status, context.answer)
     assert context.spent_s < seconds, context.spent_s
@@ -289,7 +289,7 @@
     return [n.log.read_text().count(text) for n in context.platform.nodes]
 
 
-@given("every node has noticed")
+@given("every node has logged the outage")
 def wait_noticed(context):
     context.lost = count_logged(context, "store unreachable")
     context.found = count_logged(context, "store reachable again")
@@ -306,7 +306,7 @@
     time.sleep(2.0)
 
 
-@then("every node says within {seconds:f} s that the store is back")
+@then("every node logs within {seconds:f} s that the store is reachable")
 def check_noticed(context, seconds):
     wait_for(
         lambda: all(
@@ -322,7 +322,7 @@
     )
 
 
-@given("the records have {size:d} KB more, and node 0 has a slow way to the store")
+@given("the records have {size:d} KB more, and node 0 has a slow link to the store")
 def slow_link(context, size):
     site = context.platform
     for number in range(50):
@@ -333,11 +333,11 @@
     proxy.add("store", listen, site.store)
     proxy.set_mode("store", Mode.DELAY, delay_s=0.25)
     node = site.nodes[0]
-    context.add_cleanup(use_store, site, node, site.store)
-    use_store(site, node, listen)
+    context.add_cleanup(set_store_address, site, node, site.store)
+    set_store_address(site, node, listen)
 
 
-def use_store(site, node, address):
+def set_store_address(site, node, address):
     lines = node.settings.read_text().splitlines()
     kept = [x for x in lines if not x.startswith("address")]
     kept.insert(kept.index("[platform]") + 1, f'address = "{address}"')
@@ -354,7 +354,7 @@
     site = context.platform
     for number, node in enumerate(site.nodes):
         node.kill()
-        context.add_cleanup(bring_back, context, number)
+        context.add_cleanup(restart_node, context, number)
     site.nodes[0].restart()
     wait_for(lambda: site.is_ready(site.ips[0]), 20, "node 0 ready")
 
@@ -368,12 +368,12 @@
 def evacuate_domain(context):
     context.platform.put("op/evacuate/d", {})
     context.add_cleanup(context.platform.remove, "op/evacuate/d")
-    # Work that began a moment before the request may go on.
+    # Work that started just before the request may continue.
     time.sleep(1.0)
 
 
-@when("the operators take the failure domain back")
-def take_domain_back(context):
+@when("the operators end the evacuation")
+def end_evacuation(context):
     context.platform.remove("op/evacuate/d")
 
 
@@ -386,7 +386,7 @@
 
 @then('the job is shown as "{state}" by a live node within {seconds:d} s')
 def check_live_state(context, state, seconds):
-    node = live_nodes(context)[0]
+    node = list_live_nodes(context)[0]
     wait_for(lambda: read_state(context, context.job, node) == state, seconds, state)
 
 
@@ -396,10 +396,10 @@
     leader = wait_for(lambda: site.find_leader() is not None, 15, "a leader")
     leader = site.find_leader()
     site.nodes[leader].kill()
-    context.add_cleanup(bring_back, context, leader)
+    context.add_cleanup(restart_node, context, leader)
 
 
-def bring_back(context, number):
+def restart_node(context, number):
     site = context.platform
     if site.nodes[number].process.poll() is not None:
         site.nodes[number].restart()
@@ -408,7 +408,7 @@
 
 @then('both jobs are shown as "{state}" within {seconds:d} s')
 def check_both(context, state, seconds):
-    node = live_nodes(context)[0]
+    node = list_live_nodes(context)[0]
     for job_id in (context.first, context.job):
         wait_for(lambda j=job_id: read_state(context, j, node) == state, seconds, state)
 
@@ -419,13 +419,13 @@
     assert not problems, problems
 
 
-@given("the store loses a third of its answers and writes late")
+@given("the store drops a third of its responses and writes late")
 def lose_answers(context):
     context.platform.set_store_faults(lost_share=0.33, late_s=1.0)
-    context.add_cleanup(heal, context)
+    context.add_cleanup(clear_store_faults, context)
 
 
-@given("workers carry out a third of the orders {seconds:f} s late")
+@given("workers execute a third of the orders {seconds:f} s late")
 def make_late(context, seconds):
     site = context.platform
     for number in range(len(site.workers)):
@@ -433,12 +433,14 @@
         context.add_cleanup(site.set_worker_faults, number)
 
 
-@given("the store forgets its history again and again")
+@given("the store drops its history repeatedly")
 def forget_history(context):
     context.forget = True
 
 
-@when("clients submit {count:d} jobs of 1 task of {takes:f} s, retrying unknown ones")
+@when(
+    "clients submit {count:d} jobs of 1 task of {takes:f} s, retrying unknown outcomes"
+)
 def submit_many(context, count, takes):
     context.accepted = []
     for _ in range(count):
@@ -458,12 +460,14 @@
 
 @then("all jobs that were accepted are completed within {seconds:d} s")
 def check_accepted(context, seconds):
-    node = live_nodes(context)[0]
+    node = list_live_nodes(context)[0]
     end = time.monotonic() + seconds
     for job_id in context.accepted:
-        left = max(0.5, end - time.monotonic())
+        remaining_s = max(0.5, end - time.monotonic())
         wait_for(
-            lambda j=job_id: read_state(context, j, node) == "completed", left, job_id
+            lambda j=job_id: read_state(context, j, node) == "completed",
+            remaining_s,
+            job_id,
         )
 
 
@@ -472,7 +476,7 @@
     site = context.platform
     wait_for(lambda: site.find_leader() is not None, 15, "a leader")
     leader = site.find_leader()
-    context.old_leader, context.cuts, context.accepted = leader, [], []
+    context.old_leader, context.aborted_requests, context.accepted = leader, [], []
     connection = http.client.HTTPConnection(site.ips[leader], site.front, timeout=5)
     site.nodes[leader].signal(signal.SIGTERM)
     context.stopped_at = time.monotonic()
@@ -490,20 +494,20 @@
         except ConnectionRefusedError:
             break
         except OSError as error:
-            context.cuts.append(repr(error))
+            context.aborted_requests.append(repr(error))
             break
         if context.led_after is None:
             found = site.find_leader()
             if found is not None and found != leader:
                 context.led_after = time.monotonic() - context.stopped_at
         time.sleep(0.1)
-    context.add_cleanup(bring_back, context, leader)
+    context.add_cleanup(restart_node, context, leader)
     site.nodes[leader].process.wait(10)
 
 
-@then("no call on an open connection is cut")
-def check_cuts(context):
-    assert not context.cuts, context.cuts
+@then("no request on an open connection is aborted")
+def check_none_aborted(context):
+    assert not context.aborted_requests, context.aborted_requests
 
 
 @then("a successor leads within {seconds:d} s of the signal")
@@ -512,27 +516,27 @@
     assert context.led_after < seconds, context.led_after
 
 
-@when("a node's settings file becomes wrong and it gets SIGHUP")
+@when("a node's settings file becomes invalid and it gets SIGHUP")
 def break_settings(context):
     node = context.platform.nodes[0]
-    context.right = node.settings.read_text()
+    context.valid_settings = node.settings.read_text()
     node.settings.write_text("node = 7")
     node.signal(signal.SIGHUP)
 
 
-@then("it says so in its log and goes on serving")
+@then("it logs the refusal and continues to serve")
 def check_refused_settings(context):
     node = context.platform.nodes[0]
     wait_for(lambda: "settings refused" in node.log.read_text(), 5, "refused")
     assert context.platform.is_ready(node.ip)
 
 
-@when("the settings file is right again")
-def mend_settings(context):
-    context.platform.nodes[0].settings.write_text(context.right)
+@when("the settings file is valid again")
+def restore_settings(context):
+    context.platform.nodes[0].settings.write_text(context.valid_settings)
 
 
-@then("it says that it has reloaded it")
+@then("it logs that it has reloaded it")
 def check_reloaded(context):
     node = context.platform.nodes[0]
     wait_for(lambda: "settings reloaded" in node.log.read_text(), 5, "reloaded")
@@ -560,7 +564,7 @@
 
 
 def ignores_reload(process):
-    """Tell whether a process ignores SIGHUP, which only its own first line does."""
+    """Return whether a process ignores SIGHUP, which its first line sets."""
     lines = Path(f"/proc/{process.pid}/status").read_text().splitlines()
     mask = next(line.split()[1] for line in lines if line.startswith("SigIgn"))
     return bool(int(mask, 16) & 1 << signal.SIGHUP - 1)
@@ -569,7 +573,7 @@
 @when("node {number:d} is killed, started again and told to reload as it starts")
 def reload_early(context, number):
     node = context.platform.nodes[number]
-    context.add_cleanup(bring_back, context, number)
+    context.add_cleanup(restart_node, context, number)
     node.kill()
     node.restart()
     end = time.monotonic() + 10
