--- a/features/configuration_input.feature
+++ b/features/configuration_input.feature
@@ -5,11 +5,11 @@
     Given a site with organisation "kraftwerk" and a rule that names it
 
   Scenario Outline: A <what> gets one typed answer
-    A mistake in one of two changes must not let the other through: a half-applied
-    change set is a state that no operator asked for.
-    When an operator sends a good change together with <what>
+    Guards against applying the valid change of a set with an invalid one: a partly
+    applied change set is a state that no operator asked for.
+    When an operator sends a valid change together with <what>
     Then the operators' answer is <status> "<type>" about "<field>"
-    And the configuration is as it was
+    And the configuration is unchanged
 
     Examples:
       | what                                 | status | type              | field                                  |
@@ -28,18 +28,18 @@
       | the same part twice                  | 422    | invalid_value     | changes[2].name                        |
       | a stale revision                     | 409    | revision_conflict | expected_revision                      |
 
-  Scenario: A dry run tells what would change and which guarantees do not fit
-    An operator wants to know beforehand; a dry run that writes, or that names only
-    the first of two misfits, sends the operator into a change blind.
+  Scenario: A dry run reports what would change and which guarantees do not fit
+    Guards against a dry run that writes, or that reports only the first of two shapes
+    that do not fit.
     When an operator tries a change of every kind in a dry run
     Then the dry run says add, replace, remove and keep
-    And the configuration is as it was
+    And the configuration is unchanged
     When an operator tries two shapes that cannot fit in a dry run
     Then the dry run names both
 
   Scenario: Guarantees that no longer fit do not block other changes
-    A worker's machines are gone, so that a promised shape has no place any more.
-    Were every change refused then, operators could neither make room nor go on.
+    Workers were removed, so a guaranteed shape no longer fits. If every change were
+    refused then, operators could neither reduce the guarantee nor change anything else.
     Given the workers of a failure domain are gone from the VM list
-    Then an operator can add an organisation and shrink the promised shape
-    But cannot promise more there
+    Then an operator can add an organisation and shrink the guaranteed shape
+    But cannot guarantee more there
--- a/features/configuration_membership.feature
+++ b/features/configuration_membership.feature
@@ -1,32 +1,32 @@
-Feature: Membership at the size of the letter
+Feature: Membership at the required fleet size
 
-  Scenario: In a quiet fleet nobody is taken for lost
-    Peers far away are heard by turns only. Were the limits
-    too tight for the turns, live gateways would lose their shares now and then.
+  Scenario: In a healthy fleet no process is marked as lost
+    Peers in other failure domains are contacted in rotation. Guards against limits
+    too short for the rotation: live gateways would lose their shares sporadically.
     Given the membership of 6 failure domains with 3 entry VMs of 2 processes each
     When 150 heartbeat periods pass
-    Then nobody has taken anybody for lost
+    Then no process has marked another as lost
 
-  Scenario: Exchanges are few at full size
-    Everybody greeting everybody nearby costs four times what the letter allows.
+  Scenario: Exchanges are few at full fleet size
+    Guards against heartbeats between all nearby processes: 4 times the permitted load.
     Given the membership of 6 failure domains with 9 entry VMs of 2 processes each
     When 20 heartbeat periods pass
     Then no process had more than 20 exchanges a period on average
 
-  Scenario: A failure domain that is cut off shows within seconds and comes back
-    All processes of a failure domain fall silent at once. A limit for each peer
-    alone would show the cut only after minutes.
+  Scenario: A partitioned failure domain is detected within seconds and comes back
+    All processes of a failure domain become unreachable at once. Guards against limits
+    per peer only, which would detect the partition after minutes.
     Given the membership of 6 failure domains with 9 entry VMs of 2 processes each
     When 10 heartbeat periods pass
-    And the last failure domain is cut off for 14 periods
-    Then every process has taken exactly the other side of the cut for lost
-    When the cut of the membership heals and 5 periods pass
-    Then every process has heard of the last failure domain again
+    And the last failure domain is partitioned for 14 periods
+    Then every process has marked exactly the other side of the partition as lost
+    When the partition of the membership ends and 5 periods pass
+    Then every process has heard from the last failure domain again
 
-  Scenario: A process that was paused itself takes nobody for lost
-    A process wakes after a minute and has heard nobody. If it took all others for
-    lost, it would take the whole of every target for itself.
+  Scenario: A process that was paused itself marks no process as lost
+    A process resumes after a minute without heartbeats. If it marked all others as
+    lost, it would claim the full capacity of every target.
     Given the membership of 3 failure domains with 2 entry VMs of 2 processes each
     When 20 heartbeat periods pass
     And one process is paused for 60 periods
-    Then it has taken nobody for lost
+    Then it has marked no process as lost
--- a/features/steps/configuration_input_steps.py
+++ b/features/steps/configuration_input_steps.py
@@ -16,7 +16,7 @@
 
 
 class BadInput:
-    """Change sets that are wrong in one way each."""
+    """Change sets with one fault each."""
 
     def __init__(self, site) -> None:
         self.operators = Operators(site)
@@ -25,7 +25,7 @@
         self.before = self.operators.read(self.domain)
 
     def build(self, what: str) -> dict:
-        """Return a change set of a good change and the named fault."""
+        """Return a change set of a valid change and the named fault."""
         revision = self.before["revision"]
         greedy = add("greedy", **shape(self.domain, 64))
         wrong = {
@@ -81,7 +81,7 @@
     context.bad = BadInput(site)
 
 
-@when("an operator sends a good change together with {what}")
+@when("an operator sends a valid change together with {what}")
 def send_bad(context, what):
     context.bad.send(what)
 
@@ -101,7 +101,7 @@
     assert bad.answer["field"] is None and bad.answer["reason"], bad.answer
 
 
-@then("the configuration is as it was")
+@then("the configuration is unchanged")
 def check_unchanged(context):
     bad = context.bad
     assert bad.operators.read(bad.domain) == bad.before
@@ -158,7 +158,7 @@
     wait_for(is_gone, what="the VM list without the workers")
 
 
-@then("an operator can add an organisation and shrink the promised shape")
+@then("an operator can add an organisation and shrink the guaranteed shape")
 def change_without_room(context):
     bad = context.bad
     revision = bad.operators.read(bad.domain)["revision"]
@@ -167,7 +167,7 @@
     assert status == 200, answer
 
 
-@then("cannot promise more there")
+@then("cannot guarantee more there")
 def check_no_more(context):
     bad = context.bad
     revision = bad.operators.read(bad.domain)["revision"]
--- a/features/steps/configuration_links_steps.py
+++ b/features/steps/configuration_links_steps.py
@@ -27,16 +27,16 @@
 BASE64_SHARE = 4 / 3
 
 
-def name_at_random(rng):
+def make_random_name(rng):
     return "".join(rng.choices(string.ascii_lowercase + string.digits, k=7))
 
 
 def make_routes(count, rng):
     return [
         {
-            "name": f"r-{name_at_random(rng)}",
+            "name": f"r-{make_random_name(rng)}",
             "hostname": "jobs.example",
-            "prefix": f"/{name_at_random(rng)}/",
+            "prefix": f"/{make_random_name(rng)}/",
             "type": "non_idempotent",
             "timeout_ms": 3011,
             "slo_ms": 1003,
@@ -50,7 +50,7 @@
     ]
 
 
-# -- one node as a process, behind a link of its own ---------------------------
+# -- one node as a process, behind its own link --------------------------------
 
 
 @given("a node whose link to the store carries {mbps:d} Mbit/s")
@@ -68,9 +68,9 @@
     time.sleep(seconds)
 
 
-@given("the store turns it away")
-def turn_away(context):
-    # Behind the proxy the node calls from another address than its own.
+@given("the store rejects its calls")
+def reject_calls(context):
+    # The store sees the proxy's address, so it rejects all calls.
     context.platform.set_store_faults(busy=True)
     time.sleep(1.0)
     assert Event.STORE_UNREACHABLE.message in context.platform.nodes[0].log.read_text()
@@ -104,8 +104,8 @@
         add_version(context)
 
 
-@when("the store takes it back")
-def take_back(context):
+@when("the store accepts its calls again")
+def accept_calls(context):
     context.platform.set_store_faults()
 
 
@@ -119,7 +119,7 @@
     )
 
 
-@then("it has not counted the store as lost")
+@then("it has not reported the store as unreachable")
 def check_not_lost(context):
     log = context.platform.nodes[0].log.read_text()
     assert Event.STORE_UNREACHABLE.message not in log
@@ -129,24 +129,24 @@
 
 
 class LinkedExchange(Exchange):
-    """Carries messages over links that hold one message at a time."""
+    """Carries messages over links that transfer one message at a time."""
 
     def __init__(self, mbps):
         super().__init__()
         self.mbps = mbps
         self.free_at = {}
-        self.held_s = {}
+        self.busy_s = {}
 
     def join(self, ip):
         super().join(ip)
         self.free_at[ip] = 0.0
-        self.held_s[ip] = 0.0
+        self.busy_s[ip] = 0.0
         return LinkedFabric(self, ip)
 
     async def carry(self, ip, size):
         now = asyncio.get_running_loop().time()
         takes_s = size * 8 / (self.mbps[ip] * 1e6)
-        self.held_s[ip] += takes_s
+        self.busy_s[ip] += takes_s
         self.free_at[ip] = max(now, self.free_at[ip]) + takes_s
         await asyncio.sleep(self.free_at[ip] - now)
 
@@ -154,7 +154,7 @@
 class LinkedFabric(ExchangeFabric):
     async def ask(self, address, body, *, timeout_s):
         ip = address.split(":")[0]
-        # Given up by its asker, a reply comes over the link all the same.
+        # A reply still uses the link after its request has timed out.
         carried = asyncio.ensure_future(self._carry(ip, body))
         self.exchange.open.add(carried)
         carried.add_done_callback(self.exchange.open.discard)
@@ -177,7 +177,7 @@
 
 @given(
     "a fleet of {count:d} nodes with links of {mbps:d} Mbit/s "
-    "of which the store turns a third away"
+    "of which the store rejects a third"
 )
 def build_linked_fleet(context, count, mbps):
     rng = random.Random(17)
@@ -187,19 +187,19 @@
     context.exchange = LinkedExchange(rates)
     context.exchange.open = set()
     context.clock = LoopClock()
-    context.turned_away = set(rng.sample(ips, count // 3))
+    context.rejected = set(rng.sample(ips, count // 3))
     context.rng = rng
     context.nodes = {}
-    build_nodes(context, ips, rng, reaches_store=set(ips) - context.turned_away)
+    build_nodes(context, ips, rng, reaches_store=set(ips) - context.rejected)
 
 
 @when("{versions:d} versions of {routes:d} routes come {gap:f} s apart")
-def change_often(context, versions, routes, gap):
+def publish_versions(context, versions, routes, gap):
     context.late = []
     stored = make_routes(routes, context.rng)
 
     async def follow_store(ip, value):
-        """Bring a version by the node's own watch, as the store encodes it."""
+        """Deliver a version by the node's own watch, in the store's encoding."""
         await context.exchange.carry(ip, len(value) * BASE64_SHARE)
         context.nodes[ip][1].offer(value, source="store")
 
@@ -219,9 +219,9 @@
         greeting = asyncio.ensure_future(greet_forever())
         checks = []
         for version in range(2, versions + 2):
-            context.exchange.held_s = dict.fromkeys(context.nodes, 0.0)
+            context.exchange.busy_s = dict.fromkeys(context.nodes, 0.0)
             value = encode_json({"version": version, "routes": stored})
-            for ip in set(context.nodes) - context.turned_away:
+            for ip in set(context.nodes) - context.rejected:
                 context.exchange.open.add(
                     asyncio.ensure_future(follow_store(ip, value))
                 )
@@ -244,11 +244,11 @@
     assert not context.late, (len(context.late), context.late[:5])
 
 
-@then("no node's link was held for more than {seconds:f} s by one version")
-def check_held(context, seconds):
+@then("no node's link was busy for more than {seconds:f} s by one version")
+def check_busy(context, seconds):
     small = {
         ip: s
-        for ip, s in context.exchange.held_s.items()
+        for ip, s in context.exchange.busy_s.items()
         if context.exchange.mbps[ip] < LARGE_LINK_MBPS
     }
     most = max(small.values())
--- a/features/steps/configuration_membership_steps.py
+++ b/features/steps/configuration_membership_steps.py
@@ -14,21 +14,21 @@
 
 
 class Fleet:
-    """Tables of all processes, moved on by whole periods of one second."""
+    """Membership tables of all processes, advanced by periods of 1 s."""
 
     def __init__(self, domains: int, machines: int) -> None:
         self.rng = random.Random(7)
-        places = itertools.product(
+        processes = itertools.product(
             range(domains), range(machines), ("gateway", "scheduler")
         )
-        self.members = {f"{d}-{vm}-{role}": (str(d), role) for d, vm, role in places}
+        self.members = {f"{d}-{vm}-{role}": (str(d), role) for d, vm, role in processes}
         self.heard = {a: dict.fromkeys(self.members, 0.0) for a in self.members}
         self.asked = {a: dict.fromkeys(self.members, 0.0) for a in self.members}
         self.lost: dict[str, set[str]] = {a: set() for a in self.members}
         self.ever_lost: set[tuple[str, str]] = set()
         self.exchanges: Counter[str] = Counter()
         self.now = 0.0
-        self.cut = ""
+        self.partitioned_domain = ""
 
     def view(self, me: str) -> FleetView:
         peers = (
@@ -40,8 +40,11 @@
         )
         return FleetView(self.now, 1.0, *self.members[me], tuple(peers))
 
-    def is_cut(self, a: str, b: str) -> bool:
-        sides = {self.members[a][0] == self.cut, self.members[b][0] == self.cut}
+    def is_partitioned(self, a: str, b: str) -> bool:
+        sides = {
+            self.members[a][0] == self.partitioned_domain,
+            self.members[b][0] == self.partitioned_domain,
+        }
         return len(sides) == 2
 
     def pass_periods(self, count: int, paused: str = "") -> None:
@@ -49,17 +52,17 @@
             self.now += 1.0
             for me in self.members:
                 if me != paused:
-                    self.greet_all(me, paused)
+                    self.exchange_heartbeats(me, paused)
             for me in self.members:
                 if me != paused:
                     found = find_lost(self.view(me))
                     self.lost[me] |= found
                     self.ever_lost |= {(me, other) for other in found}
 
-    def greet_all(self, me: str, paused: str) -> None:
+    def exchange_heartbeats(self, me: str, paused: str) -> None:
         for other in choose_contacts(self.view(me), unknown_addresses=(), rng=self.rng):
             self.asked[me][other] = self.now
-            if other == paused or self.is_cut(me, other):
+            if other == paused or self.is_partitioned(me, other):
                 continue
             self.exchanges.update((me, other))
             for here, there in ((me, other), (other, me)):
@@ -80,7 +83,7 @@
     context.fleet.pass_periods(count)
 
 
-@then("nobody has taken anybody for lost")
+@then("no process has marked another as lost")
 def check_none_lost(context):
     assert not context.fleet.ever_lost, context.fleet.ever_lost
 
@@ -92,27 +95,27 @@
     assert most <= limit, most
 
 
-@when("the last failure domain is cut off for {count:d} periods")
-def cut_last(context, count):
-    context.fleet.cut = "5"
+@when("the last failure domain is partitioned for {count:d} periods")
+def partition_last(context, count):
+    context.fleet.partitioned_domain = "5"
     context.fleet.pass_periods(count)
 
 
-@then("every process has taken exactly the other side of the cut for lost")
-def check_cut(context):
+@then("every process has marked exactly the other side of the partition as lost")
+def check_partition(context):
     fleet = context.fleet
     for me in fleet.members:
-        other_side = {a for a in fleet.members if fleet.is_cut(me, a)}
+        other_side = {a for a in fleet.members if fleet.is_partitioned(me, a)}
         assert fleet.lost[me] == other_side, (me, fleet.lost[me] ^ other_side)
 
 
-@when("the cut of the membership heals and {count:d} periods pass")
+@when("the partition of the membership ends and {count:d} periods pass")
 def heal_fleet(context, count):
-    context.fleet.cut = ""
+    context.fleet.partitioned_domain = ""
     context.fleet.pass_periods(count)
 
 
-@then("every process has heard of the last failure domain again")
+@then("every process has heard from the last failure domain again")
 def check_healed(context):
     fleet = context.fleet
     for me in fleet.members:
@@ -131,6 +134,6 @@
     fleet.heard[context.paused] = {a: at + pause_s for a, at in heard.items()}
 
 
-@then("it has taken nobody for lost")
+@then("it has marked no process as lost")
 def check_paused(context):
     assert not find_lost(context.fleet.view(context.paused))
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -20,7 +20,7 @@
 
 
 class Operators:
-    """Operators at several gateways, and what they were told."""
+    """Operators at several gateways, and the responses they received."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
@@ -37,7 +37,7 @@
         return call(self.site.gateway(domain), "POST", "/v1/config", body)
 
     def accept(self, domain: str) -> int:
-        """Make a change that must be accepted, and return its revision."""
+        """Make a change that must be accepted; return its revision."""
         revision = self.read(domain)["revision"]
         status, answer = self.post(domain, revision, add(f"org-{next(_numbers)}"))
         assert status == 200, answer
@@ -73,7 +73,7 @@
         return [e for e in events if e["number"] == number]
 
     def copy_store(self) -> list[dict]:
-        """Return the store's keys of the configuration."""
+        """Return the configuration's entries in the store."""
         key, end = (base64.b64encode(k).decode() for k in (b"config/", b"config0"))
         body = {"key": key, "range_end": end}
         return call(self.site.addresses["store"], "POST", "/v3/kv/range", body)[1][
@@ -100,14 +100,14 @@
     domain = site.layout.domains[0]
     context.operators.accept(domain)
     for each in site.layout.domains:
-        # Every process must be known to every gateway, with what it has.
+        # Every gateway must know every process and its revision.
         wait_for(
             lambda d=each: context.operators.sees_everyone(d),
             what=f"{each} sees everyone at revision {context.operators.latest}",
         )
 
 
-@when("two operators change the same revision at once, {count:d} times over")
+@when("two operators change the same revision at once, {count:d} times")
 def race_operators(context, count):
     for _ in range(count):
         context.operators.race()
@@ -133,7 +133,7 @@
     assert accepted <= found and not refused & found, (accepted, refused, found)
 
 
-@given("the store loses its answer to the next change")
+@given("the store drops its response to the next change")
 def lose_answer(context):
     context.site.set_faults(lose_answers=1, lose_key="config/")
 
@@ -156,7 +156,7 @@
     ops.names.append(name)
 
 
-@then("both operators hear that their change was accepted")
+@then("both operators are told that their change was accepted")
 def check_accepted(context):
     answers = [pending.result(timeout=30) for pending in context.operators.pending]
     assert [status for status, _ in answers] == [200, 200], answers
@@ -182,7 +182,7 @@
     context.site.set_faults()
 
 
-@then('a change is refused as "{kind}" with a time to come back')
+@then('a change is refused as "{kind}" with a time to retry')
 def check_refused(context, kind):
     ops, domain = context.operators, context.site.layout.domains[0]
     status, answer = ops.post(domain, ops.latest, add("never"))
@@ -191,7 +191,7 @@
     assert answer["retry_after_s"] > 0, answer
 
 
-@then("status at every gateway says that the store is unreachable")
+@then("status at every gateway reports that the store is unreachable")
 def check_store_lost(context):
     for domain in context.site.layout.domains:
         wait_for(
@@ -225,8 +225,8 @@
         assert before | {"afterwards"} == set(ops.read(each)["organisations"])
 
 
-@when("the third failure domain is cut off from the store and the others")
-def cut_third(context):
+@when("the third failure domain is partitioned from the store and the others")
+def partition_third(context):
     context.operators.old = context.operators.latest
     context.operators.isolate(context.site.layout.domains[2])
 
@@ -251,7 +251,7 @@
     assert not status["in_force_everywhere"], status
 
 
-@then("the third failure domain says that its store is unreachable")
+@then("the third failure domain reports that its store is unreachable")
 def check_third_lost(context):
     third = context.site.layout.domains[2]
     wait_for(
@@ -260,8 +260,8 @@
     )
 
 
-@when("the cuts heal")
-def heal(context):
+@when("the partition ends")
+def end_partition(context):
     context.site.cut()
     context.site.cut_from_store()
 
@@ -278,7 +278,7 @@
 
 @given("the third failure domain missed the last change")
 def miss_change(context):
-    cut_third(context)
+    partition_third(context)
     accept_first(context)
     second = context.site.layout.domains[1]
     wait_for(
@@ -308,7 +308,7 @@
 
 
 @when("only the store stays down")
-def heal_peers(context):
+def reconnect_peers(context):
     context.site.cut()
 
 
@@ -317,7 +317,7 @@
     context.site.wait_in_force(context.operators.latest, 12)
 
 
-@then("no process ever went back to a lower revision")
+@then("no process ever returned to a lower revision")
 def check_monotone(context):
     site = context.site
     running = [n for n in site.fabric if site.child(n).process.poll() is None]
@@ -330,7 +330,7 @@
         assert adopted() == sorted(set(adopted())), (name, adopted())
 
 
-@when("the store is restored from a copy that is one change old")
+@when("the store is restored from a backup that is one change old")
 def restore(context):
     copy = context.operators.copy_store()
     context.site.wait_in_force(context.operators.accept(context.site.layout.domains[0]))
@@ -344,7 +344,7 @@
         assert wait_for(found, what=name)[0]["message"] == message
 
 
-@when("the third failure domain is cut off and its VM is replaced")
+@when("the third failure domain is partitioned and its VM is replaced")
 def replace_third(context):
     third = context.site.layout.domains[2]
     context.operators.isolate(third)
@@ -353,7 +353,7 @@
     context.site.child(f"{third}-1/gateway").restart()
 
 
-@then("its gateway lives but is not ready")
+@then("its gateway is live but not ready")
 def check_not_ready(context):
     gateway = context.site.gateway(context.site.layout.domains[2])
     wait_for(lambda: call(gateway, "GET", "/health/live")[0] == 200, what="live")
@@ -362,7 +362,7 @@
         time.sleep(0.1)
 
 
-@then('a request and a job there are refused as "{kind}" with a time to come back')
+@then('a request and a job there are refused as "{kind}" with a time to retry')
 def check_calls_refused(context, kind):
     gateway = context.site.gateway(context.site.layout.domains[2])
     req = {"organisation": "anybody", "deadline_ms": 2000, "idempotent": True}
--- a/features/steps/configuration_store_steps.py
+++ b/features/steps/configuration_store_steps.py
@@ -14,7 +14,7 @@
 
 
 def write_all(address: str, writer: int, count: int) -> list[tuple[str, str]]:
-    """Write keys one after the other; return each with the revision answered."""
+    """Write keys in sequence; return each with the revision in its response."""
     written = []
     for number in range(count):
         key = encode(f"key/{writer}/{number}")
@@ -52,7 +52,7 @@
     context.written = dict(itertools.chain.from_iterable(results))
 
 
-@then("every answer names the revision at which its key was written")
+@then("every response has the revision at which its key was written")
 def check_revisions(context):
     body = {"key": encode("key/"), "range_end": encode("key0")}
     address = context.site.addresses["store"]
