--- a/features/support/golden_parts.py
+++ b/features/support/golden_parts.py
@@ -225,7 +225,7 @@
     def list_peers(self, **_: Any) -> list[Heartbeat]:
         return [Heartbeat(identity=p.identity, revision=0) for p in self.peers]
 
-    def read(self, name: str) -> Any:
+    def read_setting(self, name: str) -> Any:
         """Return a setting; no operators' token is set."""
         return ""
 
--- a/src/firladder/_internal/fleet/process.py
+++ b/src/firladder/_internal/fleet/process.py
@@ -44,12 +44,12 @@
         """Create all parts; nothing listens or connects yet."""
         self.settings = settings
         self.identity = Identity(
-            vm=self.read("vm"),
+            vm=self.read_setting("vm"),
             role=self.role,
-            failure_domain=self.read("failure_domain"),
+            failure_domain=self.read_setting("failure_domain"),
             incarnation=mint_incarnation(),
-            address=self.read("advertise") or self.read("address"),
-            http_address=self.read("http_address"),
+            address=self.read_setting("advertise") or self.read_setting("address"),
+            http_address=self.read_setting("http_address"),
         )
         self.rng = random.Random()
         self.clock = SystemClock()
@@ -63,15 +63,16 @@
         self.tasks = TaskSet()
         self.life = ChartInstance(load_chart("process"))
         self.stopping = asyncio.Event()
-        self.source_ip = split_address(self.read("address"))[0]
+        self.source_ip = split_address(self.read_setting("address"))[0]
         self.store = StoreClient(
-            url=self.read("store_url"), http=HttpClient(source_ip=self.source_ip)
+            url=self.read_setting("store_url"),
+            http=HttpClient(source_ip=self.source_ip),
         )
         self.fabric = Fabric(
-            address=self.read("address"),
+            address=self.read_setting("address"),
             sender=f"{self.identity.vm}/{self.role}/{self.identity.incarnation}",
             logical=self.logical,
-            secret=self.read("fleet_secret"),
+            secret=self.read_setting("fleet_secret"),
         )
         self.configuration = ConfigurationHolder(self.timeline)
         self.adopted_at = self.clock.read_monotonic()
@@ -84,14 +85,14 @@
             fabric=self.fabric,
             describe=self.describe,
             configuration=self.configuration,
-            seeds=self.read("seeds"),
-            period_s=self.read("heartbeat_s"),
+            seeds=self.read_setting("seeds"),
+            period_s=self.read_setting("heartbeat_s"),
             clock=self.clock,
             rng=self.rng,
             timeline=self.timeline,
         )
 
-    def read(self, name: str) -> Any:
+    def read_setting(self, name: str) -> Any:
         """Return the value of a setting."""
         return self.settings[name].value
 
--- a/src/firladder/_internal/gateway/daemon.py
+++ b/src/firladder/_internal/gateway/daemon.py
@@ -94,7 +94,7 @@
             rng=self.rng,
             timeline=self.timeline,
             policies=policies,
-            queue_limit=self.read("queue_limit"),
+            queue_limit=self.read_setting("queue_limit"),
         )
         self.requests = RequestHandler(
             id_registry=self.id_registry,
@@ -139,7 +139,7 @@
         self.tasks.spawn(self._share_demand(), name="share-demand")
         self.tasks.spawn(self._probe_targets(), name="probe-targets")
         await self._await_configuration()
-        self.http.listen(self.read("http_address"))
+        self.http.listen(self.read_setting("http_address"))
 
     async def _await_configuration(self) -> None:
         """Wait until configuration and targets are known, or a timeout expires.
@@ -190,7 +190,7 @@
         domain from which no gateway is heard are probed by every gateway.
         """
         while True:
-            await asyncio.sleep(self.read("heartbeat_s"))
+            await asyncio.sleep(self.read_setting("heartbeat_s"))
             represented = {
                 b.identity.failure_domain
                 for b in self.membership.list_peers(role="gateway")
@@ -232,9 +232,9 @@
 
     async def drain(self) -> None:
         """Wait until the load balancer has noticed, then finish all requests."""
-        await asyncio.sleep(self.read("unready_s"))
+        await asyncio.sleep(self.read_setting("unready_s"))
         await self.http.stop_listening()
-        limit_s = self.read("drain_s")
+        limit_s = self.read_setting("drain_s")
         self.dispatcher.begin_drain(self.clock.read_monotonic() + limit_s)
         try:
             await asyncio.wait_for(self.requests.drain(), limit_s)
--- a/src/firladder/_internal/gateway/routes.py
+++ b/src/firladder/_internal/gateway/routes.py
@@ -45,7 +45,7 @@
 
 def check_operator(app: Any, call: HttpCall) -> Unauthorised | None:
     """Return a failure if a token is set and the call does not carry it."""
-    token = app.read("operator_token")
+    token = app.read_setting("operator_token")
     given = call.headers.get("authorization", "")
     # Compared in constant time: the duration of a plain comparison would reveal
     # how much of a guessed token is correct.
--- a/src/firladder/_internal/node/election.py
+++ b/src/firladder/_internal/node/election.py
@@ -127,7 +127,7 @@
 
     async def resign(self) -> None:
         """End the lease, so that a successor need not wait for its expiry."""
-        failure = await self._store.end_lease(self.lease)
+        failure = await self._store.revoke_lease(self.lease)
         if failure is not None:
             logger.info("failed to end the leader's lease: %s", failure.reason)
 
@@ -179,7 +179,7 @@
                 clock=self._clock,
             )
         if isinstance(result, Conflict):
-            await self._store.end_lease(lease)
+            await self._store.revoke_lease(lease)
             return result.find(LEADER)
         # Without an answer the key may be written now or seconds later. A later
         # attempt then finds it and ends its lease.
@@ -191,5 +191,5 @@
             return held
         # An earlier write of this node took effect after it had timed out. End its
         # lease and campaign again, to lead from the current contents of the store.
-        await self._store.end_lease(record.lease)
+        await self._store.revoke_lease(record.lease)
         return None
--- a/src/firladder/_internal/platform/store.py
+++ b/src/firladder/_internal/platform/store.py
@@ -311,7 +311,7 @@
             return None
         return StoreUncertain(reason=f"unexpected status {response.status}")
 
-    async def end_lease(self, lease: int) -> StoreConflict | None:
+    async def revoke_lease(self, lease: int) -> StoreConflict | None:
         """Revoke a lease and remove its keys; after a failure it expires by itself."""
         response = await self._call("DELETE", f"/-/kv-lease-end/{lease}")
         if isinstance(response, HttpResponse) and response.status in (200, 204, 404):
--- a/src/firladder/_internal/scheduler/daemon.py
+++ b/src/firladder/_internal/scheduler/daemon.py
@@ -65,7 +65,7 @@
         self.leadership = Leadership(
             identity=self.identity,
             store=self.store,
-            ttl_s=self.read("leader_ttl_s"),
+            ttl_s=self.read_setting("leader_ttl_s"),
             chart=load_chart("leadership"),
             clock=self.clock,
             timeline=self.timeline,
@@ -79,7 +79,7 @@
         self.fabric.handle(FetchDomain, self._answer_domain)
 
     def _find_policy(self) -> PlacementPolicy:
-        policy = PLACEMENTS.find(self.read("placement"))
+        policy = PLACEMENTS.find(self.read_setting("placement"))
         if policy is None:
             raise SettingError(
                 setting="--placement (FIRLADDER_PLACEMENT)",
@@ -97,7 +97,7 @@
 
     async def begin(self) -> None:
         """Start listening, and stand for election."""
-        self.http.listen(self.read("http_address"))
+        self.http.listen(self.read_setting("http_address"))
         self.tasks.spawn(self.leadership.run(), name="leadership")
         self.tasks.spawn(self._serve_terms(), name="terms")
 
@@ -132,9 +132,9 @@
             ),
             policy=self.policy,
             times=GangTimes(
-                self.read("task_ttl_s"),
-                self.read("start_ttl_s"),
-                self.read("stop_grace_s"),
+                self.read_setting("task_ttl_s"),
+                self.read_setting("start_ttl_s"),
+                self.read_setting("stop_grace_s"),
             ),
             clock=self.clock,
             timeline=self.timeline,
@@ -174,7 +174,9 @@
         """Finish pending starts, then resign; running gangs continue."""
         if self.leader is not None:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.leader.settle(), self.read("drain_s"))
+                await asyncio.wait_for(
+                    self.leader.settle(), self.read_setting("drain_s")
+                )
         await self.leadership.resign()
         self.timeline.record(Event.LEADERSHIP_LOST, reason="stopping")
         await self.http.stop_listening()
