--- a/src/firladder/_internal/node/worker_session.py
+++ b/src/firladder/_internal/node/worker_session.py
@@ -170,7 +170,7 @@
         wait_s = self._choose_wait() if may_wait and deadline_s is None else 0.0
         if wait_s:
             self._waiting_poll_open = True
-        answer = await context.calls.look(
+        answer = await context.calls.poll(
             worker.worker_id,
             worker.entry.address,
             acknowledged=seen,
