--- a/features/steps/configuration_links_steps.py
+++ b/features/steps/configuration_links_steps.py
@@ -14,7 +14,7 @@
     ExchangeFabric,
     build_nodes,
 )
-from features.support.virtual_time import LoopClock, play
+from features.support.virtual_time import VirtualClock, run_in_virtual_time
 from firladder._internal.exceptions import PeerUnreachable
 from firladder._internal.node.fleet import GREETING_INTERVAL_S
 from firladder._internal.utils.codec import encode_json
@@ -186,7 +186,7 @@
     rates = {ip: LARGE_LINK_MBPS if ip in large else float(mbps) for ip in ips}
     context.exchange = LinkedExchange(rates)
     context.exchange.open = set()
-    context.clock = LoopClock()
+    context.clock = VirtualClock()
     context.rejected = set(rng.sample(ips, count // 3))
     context.rng = rng
     context.nodes = {}
@@ -235,7 +235,7 @@
             task.cancel()
 
     context.bound_s = 3.0
-    play(change())
+    run_in_virtual_time(change())
 
 
 @then("every node had every version, or a newer one, within {seconds:d} s")
--- a/features/steps/golden_steps.py
+++ b/features/steps/golden_steps.py
@@ -7,14 +7,14 @@
 
 @then('the golden session "{name}" goes as its file says')
 def check_session(context, name):
-    diff = golden.compare(name, golden.read_known(name))
+    diff = golden.compare(name, golden.read_golden_file(name))
     assert not diff, f"\n{diff}"
 
 
 @then("the golden sessions are those of the outline")
 def check_complete(context):
     text = Path(context.feature.filename).read_text()
-    names = golden.list_names()
+    names = golden.list_sessions()
     assert len(names) == 4 and all(f"| {name} " in text for name in names), names
     files = {path.stem for path in golden.DIRECTORY.glob("*.txt")}
     assert files == set(names), files
@@ -22,7 +22,7 @@
 
 @then("one changed field of a golden session shows as a diff of at most {most:d} lines")
 def check_diff(context, most):
-    known = golden.read_known("operator_race")
+    known = golden.read_golden_file("operator_race")
     changed = known.replace('"type":"revision_conflict"', '"type":"conflict"')
     assert known != changed
     lines = golden.compare("operator_race", changed).splitlines()
--- a/features/steps/node_configuration_steps.py
+++ b/features/steps/node_configuration_steps.py
@@ -7,7 +7,7 @@
 import msgspec
 from behave import given, then, when
 
-from features.support.virtual_time import LoopClock, play
+from features.support.virtual_time import VirtualClock, run_in_virtual_time
 from firladder._internal.exceptions import PeerUnreachable
 from firladder._internal.models.message import (
     AdvertiseConfiguration,
@@ -75,7 +75,7 @@
     rng = random.Random(11)
     context.rng = rng
     context.exchange = Exchange()
-    context.clock = LoopClock()
+    context.clock = VirtualClock()
     ips = [f"10.{n % DOMAINS}.{n // 250}.{n % 250}" for n in range(count)]
     unserved = {"all": 0, "two thirds": count // 3}[share]
     context.served = set(ips) - set(rng.sample(ips, unserved))
@@ -127,7 +127,7 @@
         await asyncio.sleep(4 * CATCH_UP_DELAY_S)
         await close(context)
 
-    play(change())
+    run_in_virtual_time(change())
 
 
 @when("{rounds:d} round of greetings has passed")
@@ -140,7 +140,7 @@
             await asyncio.sleep(4 * CATCH_UP_DELAY_S)
         await close(context)
 
-    play(greet())
+    run_in_virtual_time(greet())
 
 
 async def close(context):
@@ -186,7 +186,7 @@
             context.busiest = max(getattr(context, "busiest", 0), most)
         await close(context)
 
-    play(greet())
+    run_in_virtual_time(greet())
 
 
 @then("no node greeted more than {most:d} others within {seconds:d} s")
--- a/features/steps/node_handover_steps.py
+++ b/features/steps/node_handover_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from features.environment import start_platform
-from features.support.virtual_time import play
+from features.support.virtual_time import run_in_virtual_time
 from firladder._internal.node.election import LeaderFitness
 from firladder._internal.node.handover import LeadershipHandover
 from standins.site import wait_for
@@ -45,7 +45,7 @@
     async def record():
         results.append(await wait())
 
-    play(record())
+    run_in_virtual_time(record())
     return results[0]
 
 
@@ -78,7 +78,7 @@
         await asyncio.sleep(seconds)
         task.cancel()
 
-    play(lead_for())
+    run_in_virtual_time(lead_for())
     assert 1 <= context.handovers <= limit, context.handovers
 
 
--- a/features/steps/node_order_steps.py
+++ b/features/steps/node_order_steps.py
@@ -3,13 +3,13 @@
 from behave import given, then, when
 
 from features.support.engine_world import make_job, make_step
-from features.support.fake_workers import AttendedWorkers
-from features.support.virtual_time import play
+from features.support.fake_workers import SimulatedLeader
+from features.support.virtual_time import run_in_virtual_time
 
 
 @given("a leader whose worker runs 8 tasks and then stops answering")
 def fill_worker(context):
-    context.leader = AttendedWorkers(1)
+    context.leader = SimulatedLeader(1)
     context.leader.engine.submit(make_job("job", make_step(8, 1)))
 
 
@@ -33,7 +33,7 @@
         context.left = dict(calls.running)
         await leading
 
-    play(fall_silent())
+    run_in_virtual_time(fall_silent())
 
 
 @then("at most {limit:d} stops are queued for the worker")
@@ -48,7 +48,7 @@
 
 @given("a leader whose worker has one active task")
 def run_one(context):
-    context.leader = AttendedWorkers(1)
+    context.leader = SimulatedLeader(1)
     context.leader.engine.submit(make_job("long", make_step(1, 1)))
 
 
@@ -67,7 +67,7 @@
         leader.calls.lost = []
         await leading
 
-    play(lose())
+    run_in_virtual_time(lose())
 
 
 @then("that task is ordered again within {seconds:f} s of the answer")
@@ -81,7 +81,7 @@
 
 @given("a leader all of whose answers take {seconds:f} s")
 def delay_answers(context, seconds, workers=2):
-    context.leader = AttendedWorkers(workers)
+    context.leader = SimulatedLeader(workers)
     context.leader.calls.answer_s = seconds
 
 
@@ -93,7 +93,7 @@
 @when("a job of 6 tasks is submitted")
 def submit_six(context):
     context.leader.engine.submit(make_job("six", make_step(6, 2)))
-    play(context.leader.lead(5.0))
+    run_in_virtual_time(context.leader.lead(5.0))
 
 
 @then("all of them are active within 5 s, none in more than its second run")
@@ -110,7 +110,7 @@
 
 @given("a leader of {workers:d} workers, of whose next orders {lost:d} are lost")
 def lose_some(context, workers, lost):
-    context.leader = AttendedWorkers(workers)
+    context.leader = SimulatedLeader(workers)
     context.leader.calls.lost = ["start"] * lost
 
 
@@ -121,7 +121,7 @@
 
 @then("the gang is active within {seconds:f} s, in its first run")
 def check_gang(context, seconds):
-    play(context.leader.lead(seconds))
+    run_in_virtual_time(context.leader.lead(seconds))
     unit = context.leader.engine.find_unit("gang")
     assert unit.all_active and unit.run == 1, (unit.run, unit.placements)
 
@@ -144,7 +144,7 @@
         context.units = [(u.all_active, u.run) for u in leader.core.jobs["four"].units]
         await leading
 
-    play(lose())
+    run_in_virtual_time(lose())
 
 
 @then("all 4 are active within 1 s, in their first run")
@@ -164,7 +164,7 @@
         leader.request_pass()
         await leading
 
-    play(submit())
+    run_in_virtual_time(submit())
 
 
 @when("a job of 6 small tasks is submitted, and an urgent one 0.1 s later")
@@ -196,7 +196,7 @@
 
 @given("a leader of {workers:d} workers, one of which accepts no connection")
 def refuse_connections(context, workers):
-    context.leader = AttendedWorkers(workers)
+    context.leader = SimulatedLeader(workers)
     context.leader.calls.refusing.add("w0")
 
 
@@ -207,6 +207,6 @@
 
 @then("all of them are active within {seconds:d} s")
 def check_active(context, seconds):
-    play(context.leader.lead(float(seconds)))
+    run_in_virtual_time(context.leader.lead(float(seconds)))
     units = context.leader.core.jobs["small"].units
     assert all(unit.all_active for unit in units), units
--- a/features/support/fake_workers.py
+++ b/features/support/fake_workers.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 from features.support.engine_world import EngineWorld
-from features.support.virtual_time import LoopClock
+from features.support.virtual_time import VirtualClock
 from firladder._internal.exceptions import NotSent, SentUnanswered
 from firladder._internal.models.order import (
     EndedTask,
@@ -120,7 +120,7 @@
         return asyncio.get_running_loop().time()
 
 
-class TickingClock(LoopClock):
+class TickingClock(VirtualClock):
     """Goes on by a microsecond with each reading, so that no two are the same."""
 
     def read_monotonic(self) -> float:
@@ -128,7 +128,7 @@
         return super().read_monotonic()
 
 
-class AttendedWorkers:
+class SimulatedLeader:
     """An engine whose workers are attended as a leader does it."""
 
     def __init__(self, workers: int) -> None:
--- a/features/support/golden.py
+++ b/features/support/golden.py
@@ -210,7 +210,7 @@
     return "\n".join(recorder.lines) + "\n"
 
 
-def read_known(name: str) -> str:
+def read_golden_file(name: str) -> str:
     """Return a session's file."""
     path = DIRECTORY / f"{name}.txt"
     return path.read_text() if path.exists() else ""
@@ -228,7 +228,7 @@
     return "".join(lines)
 
 
-def list_names() -> list[str]:
+def list_sessions() -> list[str]:
     """Return the names of all sessions."""
     from features.support import golden_job  # noqa: F401 - registers its session
 
@@ -241,7 +241,9 @@
     parser.add_argument("--renew", action="store_true", help="write the files anew")
     options = parser.parse_args()
     differing = {
-        name: diff for name in list_names() if (diff := compare(name, read_known(name)))
+        name: diff
+        for name in list_sessions()
+        if (diff := compare(name, read_golden_file(name)))
     }
     for name, diff in differing.items():
         print(diff)
--- a/features/support/virtual_time.py
+++ b/features/support/virtual_time.py
@@ -22,7 +22,7 @@
         super()._run_once()
 
 
-class LoopClock:
+class VirtualClock:
     """Reads the virtual clock; stands still between two plays."""
 
     def __init__(self):
@@ -39,6 +39,6 @@
         return self.read_monotonic()
 
 
-def play(work):
+def run_in_virtual_time(work):
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(work)
