--- a/features/support/fake_workers.py
+++ b/features/support/fake_workers.py
@@ -1,4 +1,4 @@
-"""Workers that answer orders and looks as a scenario says, on a virtual clock."""
+"""A simulated leader and simulated workers that run in virtual time."""
 
 import asyncio
 import contextlib
@@ -19,8 +19,8 @@
 
 
 @dataclasses.dataclass
-class Sent:
-    """An order or a look that left for a worker."""
+class SentCall:
+    """An order or a poll that was sent to a worker."""
 
     at: float
     kind: str
@@ -29,9 +29,11 @@
 
 
 class FakeWorkerCalls:
-    """Answers after ``answer_s``; the next calls of the kinds in ``lost`` get none.
+    """Simulate the calls to workers, which answer after ``answer_s``.
 
-    A lost order is never carried out. Workers in ``refusing`` take no connection.
+    Each kind in ``lost`` makes the next call of that kind time out; a lost order is
+    never executed. With ``silent``, all calls time out. Workers in ``refusing``
+    accept no connection.
     """
 
     def __init__(self, answer_s: float = 0.01) -> None:
@@ -41,66 +43,74 @@
         self.refusing: set[str] = set()
         self.running: dict = {}
         self.ended: dict[str, list[EndedTask]] = {}
-        self._end_listed = asyncio.Event()
-        self.barred: dict = {}
-        self.sent: list[Sent] = []
+        self._end_available = asyncio.Event()
+        self.last_stopped_runs: dict = {}
+        self.sent: list[SentCall] = []
 
     async def start(self, order, *, deadline_s, send_within_s, timeout_s):
-        self._note("start", order)
+        self._record_sent("start", order)
         if order.worker_id in self.refusing:
             await asyncio.sleep(send_within_s)
             return NotSent(reason="timed out before sending")
-        return await self._carry_out("start", order, timeout_s)
+        return await self._execute("start", order, timeout_s)
 
     async def stop(self, order, *, send_within_s, timeout_s):
-        self._note("stop", order)
-        return await self._carry_out("stop", order, timeout_s)
+        self._record_sent("stop", order)
+        return await self._execute("stop", order, timeout_s)
 
     async def poll(self, worker_id, address, *, wait_s, timeout_s, **fields):
-        self.sent.append(Sent(self._now(), "look"))
+        self.sent.append(SentCall(self._now(), "poll"))
         if worker_id in self.refusing:
             await asyncio.sleep(timeout_s)
             return NotSent(reason="timed out before sending")
-        if await self._lose("look", timeout_s):
+        if await self._lose("poll", timeout_s):
             return NO_ANSWER
-        began = self._now()
+        began_s = self._now()
         await asyncio.sleep(self.answer_s / 2)
         await self._await_end(worker_id, fields["acknowledged"], wait_s)
-        rows = tuple(
+        running_tasks = tuple(
             RunningTask(task, run, "", 10.0)
             for (task, run), order in self.running.items()
             if order.worker_id == worker_id
         )
         ends = self._list_ends(worker_id, fields["acknowledged"])
-        report = WorkerReport(self._now(), rows, ends)
+        report = WorkerReport(self._now(), running_tasks, ends)
         await asyncio.sleep(self.answer_s / 2)
-        return report if self._now() - began <= timeout_s else NO_ANSWER
+        return report if self._now() - began_s <= timeout_s else NO_ANSWER
 
-    def _list_ends(self, worker_id: str, seen: int) -> tuple[EndedTask, ...]:
-        return tuple(e for e in self.ended.get(worker_id, ()) if e.number > seen)
+    def _list_ends(self, worker_id: str, acknowledged: int) -> tuple[EndedTask, ...]:
+        return tuple(
+            e for e in self.ended.get(worker_id, ()) if e.number > acknowledged
+        )
 
-    async def _await_end(self, worker_id: str, seen: int, wait_s: float) -> None:
-        until = self._now() + wait_s
-        while self._now() < until and not self._list_ends(worker_id, seen):
-            self._end_listed.clear()
+    async def _await_end(
+        self, worker_id: str, acknowledged: int, wait_s: float
+    ) -> None:
+        until_s = self._now() + wait_s
+        while self._now() < until_s and not self._list_ends(worker_id, acknowledged):
+            self._end_available.clear()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._end_listed.wait(), until - self._now())
+                await asyncio.wait_for(
+                    self._end_available.wait(), until_s - self._now()
+                )
 
-    def _end(self, order) -> None:
+    def _record_end(self, order) -> None:
         ends = self.ended.setdefault(order.worker_id, [])
         number = len(ends) + 1
         ends.append(EndedTask(number, order.task, order.run, "stopped", ""))
-        self._end_listed.set()
+        self._end_available.set()
 
-    async def _carry_out(self, kind, order, timeout_s):
+    async def _execute(self, kind, order, timeout_s):
         if await self._lose(kind, timeout_s):
             return NO_ANSWER
         await asyncio.sleep(self.answer_s / 2)
         if kind == "stop":
-            self.barred[order.task] = max(order.run, self.barred.get(order.task, 0))
+            self.last_stopped_runs[order.task] = max(
+                order.run, self.last_stopped_runs.get(order.task, 0)
+            )
             if self.running.pop((order.task, order.run), None) is not None:
-                self._end(order)
-        elif order.run > self.barred.get(order.task, 0):
+                self._record_end(order)
+        elif order.run > self.last_stopped_runs.get(order.task, 0):
             self.running[order.task, order.run] = order
         await asyncio.sleep(self.answer_s / 2)
         return self._now() if self.answer_s <= timeout_s else NO_ANSWER
@@ -113,15 +123,15 @@
         await asyncio.sleep(timeout_s)
         return True
 
-    def _note(self, kind: str, order) -> None:
-        self.sent.append(Sent(self._now(), kind, order.task, order.run))
+    def _record_sent(self, kind: str, order) -> None:
+        self.sent.append(SentCall(self._now(), kind, order.task, order.run))
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
 
 class TickingClock(VirtualClock):
-    """Goes on by a microsecond with each reading, so that no two are the same."""
+    """A virtual clock that advances 1 us per reading, so that readings are unique."""
 
     def read_monotonic(self) -> float:
         self.now += 1e-6
@@ -129,7 +139,7 @@
 
 
 class SimulatedLeader:
-    """An engine whose workers are attended as a leader does it."""
+    """Run an engine and its worker sessions as a leader does, without a store."""
 
     def __init__(self, workers: int) -> None:
         self.clock = TickingClock()
@@ -139,7 +149,7 @@
         self.timeout_estimator = TimeoutEstimator()
         self.may_renew = True
         self.sessions: dict[str, WorkerSession] = {}
-        self.waits: list[float] = []
+        self.order_waits_s: list[float] = []
         self._changed = asyncio.Event()
 
     def request_pass(self) -> None:
@@ -152,10 +162,10 @@
         raise AssertionError(reason)
 
     def record_order(self, kind: str, waited_s: float, took_s: float) -> None:
-        self.waits.append(waited_s)
+        self.order_waits_s.append(waited_s)
 
-    async def lead(self, until: float) -> None:
-        """Plan, store and send as a leader does, up to ``until`` on its clock."""
+    async def lead(self, until_s: float) -> None:
+        """Plan and send orders as a leader does, until its clock reads ``until_s``."""
         self.sessions = {
             worker.worker_id: WorkerSession(self, worker)
             for worker in self.core.workers.values()
@@ -167,7 +177,7 @@
         ]
         tasks.append(asyncio.create_task(self._tick()))
         tasks.append(asyncio.create_task(self._plan()))
-        await asyncio.sleep(until - self.clock.read_monotonic())
+        await asyncio.sleep(until_s - self.clock.read_monotonic())
         for task in tasks:
             assert not task.done() or task.exception() is None, task
             task.cancel()
--- a/features/support/virtual_time.py
+++ b/features/support/virtual_time.py
@@ -1,12 +1,13 @@
-"""A clock that goes on only while nothing else is to do, for tasks under test."""
+"""An event loop in virtual time, for tests that must not depend on machine load."""
 
 import asyncio
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Its clock goes on only while nothing else is to do, and then at once.
+    """Jumps to the next timer when no callback is ready, instead of waiting for it.
 
-    With the machine's clock a busy machine would be told from a slow rumour by luck.
+    With real time, a test on a busy machine could not tell a slow machine from a slow
+    message.
     """
 
     def __init__(self):
@@ -23,7 +24,7 @@
 
 
 class VirtualClock:
-    """Reads the virtual clock; stands still between two plays."""
+    """Reads the time of the running virtual loop; keeps the last one without a loop."""
 
     def __init__(self):
         self.now = 0.0
