--- a/features/steps/golden_steps.py
+++ b/features/steps/golden_steps.py
@@ -5,7 +5,7 @@
 from features.support import golden
 
 
-@then('the golden session "{name}" goes as its file says')
+@then('the golden session "{name}" matches its file')
 def check_session(context, name):
     diff = golden.compare(name, golden.read_golden_file(name))
     assert not diff, f"\n{diff}"
@@ -22,9 +22,9 @@
 
 @then("one changed field of a golden session shows as a diff of at most {most:d} lines")
 def check_diff(context, most):
-    known = golden.read_golden_file("operator_race")
-    changed = known.replace('"type":"revision_conflict"', '"type":"conflict"')
-    assert known != changed
+    expected = golden.read_golden_file("operator_race")
+    changed = expected.replace('"type":"revision_conflict"', '"type":"conflict"')
+    assert expected != changed
     lines = golden.compare("operator_race", changed).splitlines()
     assert 0 < len(lines) <= most, lines
     assert any(x[0] == "-" and '"type":"conflict"' in x for x in lines), lines
--- a/features/support/golden.py
+++ b/features/support/golden.py
@@ -1,6 +1,7 @@
-"""Whole sessions, played in process with a fixed clock and seed.
+"""Golden sessions: messages of scripted sessions, compared with recorded files.
 
-``python -m features.support.golden --renew`` writes their files anew.
+A session runs in one process with a fixed clock and seed.
+``python -m features.support.golden --renew`` rewrites the files.
 """
 
 import argparse
@@ -17,7 +18,7 @@
     GatewayBench,
     Recorder,
     RecordingStore,
-    make_tokens,
+    make_token_source,
 )
 from firladder._internal.models.machine import Machine
 from firladder._internal.utils.identifiers import use_random_source
@@ -63,8 +64,8 @@
     return add
 
 
-class Stage:
-    """Two gateways, their store and the messages between them."""
+class GoldenFleet:
+    """Two gateways with their store and the network between them."""
 
     def __init__(self, recorder: Recorder) -> None:
         self.recorder = recorder
@@ -77,29 +78,29 @@
     def gateways(self) -> tuple[GatewayBench, GatewayBench]:
         return self.first, self.second
 
-    def follow_store(self) -> None:
+    def sync_configuration(self) -> None:
         for gateway in self.gateways:
-            gateway.follow_store()
+            gateway.sync_configuration()
 
     async def configure(self) -> None:
-        self.recorder.title("an operator sets the fleet up")
+        self.recorder.title("an operator configures the fleet")
         changes = [organisation("kraftwerk"), organisation("squads")]
         body = {"expected_revision": 0, "changes": changes}
         await self.first.call("operator", "POST", "/v1/config", body)
-        self.follow_store()
+        self.sync_configuration()
 
 
 @contextlib.asynccontextmanager
-async def open_stage(recorder: Recorder) -> AsyncIterator[Stage]:
-    """Return a stage whose gateways run until the session is over."""
-    stage = Stage(recorder)
-    stage.first.peers, stage.second.peers = [stage.second], [stage.first]
-    for gateway in stage.gateways:
+async def run_fleet(recorder: Recorder) -> AsyncIterator[GoldenFleet]:
+    """Yield a configured fleet whose gateways run until the session ends."""
+    fleet = GoldenFleet(recorder)
+    fleet.first.peers, fleet.second.peers = [fleet.second], [fleet.first]
+    for gateway in fleet.gateways:
         gateway.adopt(MACHINES)
-        gateway.follow_store()
-    tasks = [asyncio.ensure_future(g.dispatcher.run()) for g in stage.gateways]
-    await stage.configure()
-    yield stage
+        gateway.sync_configuration()
+    tasks = [asyncio.ensure_future(g.dispatcher.run()) for g in fleet.gateways]
+    await fleet.configure()
+    yield fleet
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -125,28 +126,28 @@
 
 
 @session("request_and_retry")
-async def play_request(recorder: Recorder) -> None:
-    """Send a request, and repeat it at another gateway."""
-    async with open_stage(recorder) as stage:
+async def run_request_session(recorder: Recorder) -> None:
+    """Send a request and repeat it at another gateway."""
+    async with run_fleet(recorder) as fleet:
         recorder.title("a request with a ticket")
-        tickets = await stage.first.call("coach", "POST", "/v1/tickets", {})
+        tickets = await fleet.first.call("coach", "POST", "/v1/tickets", {})
         body = make_request(tickets["ids"][0])
-        await stage.first.call("coach", "POST", REQUESTS, body)
+        await fleet.first.call("coach", "POST", REQUESTS, body)
         recorder.title("the same request at another gateway: it does not run again")
-        await stage.second.call("coach", "POST", REQUESTS, body)
+        await fleet.second.call("coach", "POST", REQUESTS, body)
         recorder.title("the same id with another body")
         other = {**body, "body": {"athlete": "a-18"}}
-        await stage.first.call("coach", "POST", REQUESTS, other)
+        await fleet.first.call("coach", "POST", REQUESTS, other)
         recorder.title("an id of the coach's own, at both gateways")
         own = make_request("own-1")
-        await stage.second.call("coach", "POST", REQUESTS, own)
-        await stage.first.call("coach", "POST", REQUESTS, own)
+        await fleet.second.call("coach", "POST", REQUESTS, own)
+        await fleet.first.call("coach", "POST", REQUESTS, own)
 
 
 @session("operator_race")
-async def play_race(recorder: Recorder) -> None:
-    """Let two operators change one revision, and one lose an answer."""
-    async with open_stage(recorder) as stage:
+async def run_race_session(recorder: Recorder) -> None:
+    """Let two operators change the same revision, then lose one's next answer."""
+    async with run_fleet(recorder) as fleet:
         recorder.title("two operators change revision 1 at once")
         changes = ([organisation("erle")], [organisation("linde")])
         await asyncio.gather(
@@ -158,71 +159,71 @@
                     {"expected_revision": 1, "changes": change},
                 )
                 for number, (gateway, change) in enumerate(
-                    zip(stage.gateways, changes, strict=True), 1
+                    zip(fleet.gateways, changes, strict=True), 1
                 )
             )
         )
-        stage.follow_store()
-        recorder.title("the answer to the next change is lost on its way")
-        stage.store.lose_next_answer = True
+        fleet.sync_configuration()
+        recorder.title("the answer to the next change is lost")
+        fleet.store.lose_next_answer = True
         body = {"expected_revision": 2, "changes": changes[1]}
-        await stage.second.call("operator-2", "POST", "/v1/config", body)
-        recorder.title("a rule that names nobody")
+        await fleet.second.call("operator-2", "POST", "/v1/config", body)
+        recorder.title("a rule that names an unknown organisation")
         rule = {"selects": "team=a", "organisation": "nobody"}
         wrong = [{"kind": "rule", "name": "a", "value": rule}]
         body = {"expected_revision": 3, "changes": wrong}
-        await stage.first.call("operator-1", "POST", "/v1/config", body)
+        await fleet.first.call("operator-1", "POST", "/v1/config", body)
 
 
 @session("outage")
-async def play_outage(recorder: Recorder) -> None:
-    """Go through an outage of the store and a cut between gateways."""
-    async with open_stage(recorder) as stage:
-        first, second = stage.gateways
+async def run_outage_session(recorder: Recorder) -> None:
+    """Go through an outage of the store and a partition of the gateways."""
+    async with run_fleet(recorder) as fleet:
+        first, second = fleet.gateways
         tickets = await first.call("coach", "POST", "/v1/tickets", {"count": 2})
         ticket, other = tickets["ids"]
         job = {"id": "night-1", "organisation": "squads", "accelerators": 4}
         change = {"expected_revision": 1, "changes": [organisation("erle")]}
         recorder.title("the store is down")
-        stage.store.down = True
+        fleet.store.down = True
         await first.call("coach", "POST", REQUESTS, make_request(ticket))
         await first.call("coach", "POST", REQUESTS, make_request("own-1"))
         await first.call("squad", "POST", "/v1/jobs", job)
         await first.call("operator", "POST", "/v1/config", change)
-        recorder.title("the gateways are cut off from each other too")
-        stage.network.cut = {"gateway-1"}
+        recorder.title("the gateways are partitioned from each other too")
+        fleet.network.cut = {"gateway-1"}
         await second.call("coach", "POST", REQUESTS, make_request(other))
-        recorder.title("all is back")
-        stage.store.down, stage.network.cut = False, set()
+        recorder.title("the store and the network are back")
+        fleet.store.down, fleet.network.cut = False, set()
         await second.call("coach", "POST", REQUESTS, make_request(other))
         await first.call("coach", "POST", REQUESTS, make_request("own-1"))
         await first.call("squad", "POST", "/v1/jobs", job)
         await first.call("operator", "POST", "/v1/config", change)
 
 
-def play(name: str) -> str:
-    """Return the text of a session."""
+def record_session(name: str) -> str:
+    """Run a session and return its messages as text."""
     from features.support import golden_job  # noqa: F401 - registers its session
 
     recorder = Recorder()
-    with use_random_source(make_tokens()):
+    with use_random_source(make_token_source()):
         asyncio.run(asyncio.wait_for(SESSIONS[name](recorder), 20))
     return "\n".join(recorder.lines) + "\n"
 
 
 def read_golden_file(name: str) -> str:
-    """Return a session's file."""
+    """Return the recorded text of a session, empty if there is none."""
     path = DIRECTORY / f"{name}.txt"
     return path.read_text() if path.exists() else ""
 
 
-def compare(name: str, known: str) -> str:
-    """Return a diff between what is known of a session and how it goes now."""
+def compare(name: str, expected: str) -> str:
+    """Return a diff from the expected text of a session to its present one."""
     lines = difflib.unified_diff(
-        known.splitlines(keepends=True),
-        play(name).splitlines(keepends=True),
+        expected.splitlines(keepends=True),
+        record_session(name).splitlines(keepends=True),
         f"golden/{name}.txt",
-        f"{name} as it goes now",
+        f"{name} as recorded now",
         n=2,
     )
     return "".join(lines)
@@ -236,9 +237,9 @@
 
 
 def main() -> int:
-    """Print what differs, or write the files anew."""
+    """Print the differences; with ``--renew``, rewrite the files."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--renew", action="store_true", help="write the files anew")
+    parser.add_argument("--renew", action="store_true", help="rewrite the files")
     options = parser.parse_args()
     differing = {
         name: diff
@@ -248,12 +249,12 @@
     for name, diff in differing.items():
         print(diff)
         if options.renew:
-            (DIRECTORY / f"{name}.txt").write_text(play(name))
+            (DIRECTORY / f"{name}.txt").write_text(record_session(name))
     return 1 if differing and not options.renew else 0
 
 
 if __name__ == "__main__":
-    # Run under its importable name: sessions register themselves there.
+    # As `__main__` this module would have a second, incomplete `SESSIONS`.
     from features.support import golden
 
     sys.exit(golden.main())
--- a/features/support/golden_job.py
+++ b/features/support/golden_job.py
@@ -1,9 +1,9 @@
-"""The session of a job from its submission to its end, with a reclaim."""
+"""The golden session of a job, from submission to end, with a reclaim."""
 
 import asyncio
 from typing import Any
 
-from features.support.golden import open_stage, session
+from features.support.golden import run_fleet, session
 from features.support.golden_parts import Recorder, StoreView
 from features.support.protocol import FakeClock, make_leadership
 from firladder._internal.charts.interpreter import load_chart
@@ -27,7 +27,7 @@
 
 
 class FakeWorkers:
-    """Workers that do what they are told, written down."""
+    """Workers that obey every call; the calls and answers are recorded."""
 
     def __init__(self, recorder: Recorder) -> None:
         self.recorder = recorder
@@ -67,19 +67,19 @@
 
 
 class SchedulerBench:
-    """The real ledger, books, placement and gang runner of one term."""
+    """The production ledger, accounting, placement and gang runner of one term."""
 
-    def __init__(self, stage: Any) -> None:
-        self.stage, self.clock = stage, FakeClock()
-        self.leadership = make_leadership(stage.store, self.clock)
-        self.workers = FakeWorkers(stage.recorder)
+    def __init__(self, fleet: Any) -> None:
+        self.fleet, self.clock = fleet, FakeClock()
+        self.leadership = make_leadership(fleet.store, self.clock)
+        self.workers = FakeWorkers(fleet.recorder)
         self.timeline = Timeline(process=NAME, clock=self.clock, logical=LogicalClock())
         self.accounting = Accounting("bern")
 
     async def lead(self, machines: list[Machine]) -> None:
         await self.leadership._campaign()
         self.ledger = Ledger(
-            store=StoreView(self.stage.store, NAME),  # type: ignore[arg-type]
+            store=StoreView(self.fleet.store, NAME),  # type: ignore[arg-type]
             failure_domain="bern",
             term=Compare(self.leadership.key, self.leadership.epoch),
             on_superseded=lambda: self.leadership.step_down("superseded"),
@@ -90,11 +90,11 @@
             self.accounting.workers[machine.name] = state
 
     def place(self) -> tuple[GangRunner, "asyncio.Task[None]"]:
-        """Let the placement policy decide, and start the gang it places."""
-        self.ledger.read_entries(self.stage.store.entries_of(JOB_PREFIX))
+        """Run the placement policy and start the gang that it places."""
+        self.ledger.read_entries(self.fleet.store.entries_of(JOB_PREFIX))
         view = self.accounting.view(
             jobs=self.ledger.jobs.values(),
-            configuration=self.stage.first.configuration.current,
+            configuration=self.fleet.first.configuration.current,
             now=self.clock.read_wall(),
             idempotent_only=False,
         )
@@ -128,25 +128,25 @@
 
 
 @session("job_with_reclaim")
-async def play_job(recorder: Recorder) -> None:
-    """Submit a gang, reclaim its workers, start it again and see its end."""
-    async with open_stage(recorder) as stage:
+async def run_job_session(recorder: Recorder) -> None:
+    """Submit a gang, reclaim its workers, start it again and let it end."""
+    async with run_fleet(recorder) as fleet:
         machines = [
-            m for m in stage.first.inventory.list_role("worker") if m.accelerators
+            m for m in fleet.first.inventory.list_role("worker") if m.accelerators
         ]
-        scheduler = SchedulerBench(stage)
+        scheduler = SchedulerBench(fleet)
         await scheduler.lead(machines)
         recorder.title("a squad submits a gang of two")
         spec = {"id": "night-1", "organisation": "squads", "members": 2}
         body = {**spec, "accelerators": 2, "run_time_s": 60}
-        await stage.first.call("squad", "POST", "/v1/jobs", body)
+        await fleet.first.call("squad", "POST", "/v1/jobs", body)
         recorder.title("it is placed and started")
         runner, done = scheduler.place()
         await scheduler.wait_running(runner)
         recorder.title("its accelerators are reclaimed for a guaranteed shape")
         runner.inbox.put_nowait(StopGang("evicted"))
         await done
-        recorder.title("there is room again: it is placed once more")
+        recorder.title("there is free capacity again: it is placed once more")
         runner, done = scheduler.place()
         await scheduler.wait_running(runner)
         recorder.title("both members end")
@@ -156,5 +156,5 @@
             recorder.write("worker", NAME, encode_json(ended).decode())
             runner.inbox.put_nowait(MemberEnded(ended))
         await done
-        recorder.title("the squad looks it up")
-        await stage.second.call("squad", "GET", "/v1/jobs/night-1")
+        recorder.title("the squad queries it")
+        await fleet.second.call("squad", "GET", "/v1/jobs/night-1")
--- a/features/support/golden_parts.py
+++ b/features/support/golden_parts.py
@@ -1,4 +1,4 @@
-"""In-memory parts for golden sessions; each writes down what passes through it."""
+"""In-memory components of golden sessions that record their messages."""
 
 import asyncio
 import itertools
@@ -38,7 +38,7 @@
 
 
 class Recorder:
-    """The lines of one session."""
+    """Collects the lines of one session."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -47,7 +47,7 @@
         self.lines += ["", f"# {text}"] if self.lines else [f"# {text}"]
 
     def write(self, source: str, dest: str, text: str) -> None:
-        # Wrapped between fields, so that a diff shows the field that changed.
+        # Wrap between fields, so that a diff shows the field that changed.
         line = f"{source} -> {dest}:"
         for part in re.split(r"(?<=, )(?=\")|(?<=,)(?=\")|(?<=; )", f" {text}"):
             if len(line) + len(part) > COLUMNS:
@@ -58,7 +58,7 @@
 
 
 class RecordingStore(FakeStore):
-    """The store of a session, with its answers written down."""
+    """The store of a session, whose calls and answers are recorded."""
 
     def __init__(self, recorder: Recorder) -> None:
         super().__init__()
@@ -68,60 +68,60 @@
         return StoreView(self, name)
 
 
-def show_answer(answer: Any) -> str:
-    """Return the store's answer with its values readable."""
+def format_answer(answer: Any) -> str:
+    """Return a store answer as text, with readable values."""
     if isinstance(answer, Entry):
         return f"{answer.key} at {answer.mod_revision} {answer.value.decode()}"
     if isinstance(answer, Snapshot):
-        entries = "; ".join(map(show_answer, answer.entries))
+        entries = "; ".join(map(format_answer, answer.entries))
         return f"revision {answer.revision}; {entries}"
     return encode_json(answer).decode()
 
 
 class StoreView:
-    """The store as one process calls it."""
+    """The store's client in one process of the session."""
 
     def __init__(self, store: RecordingStore, name: str) -> None:
         self.store, self.name = store, name
 
-    async def _ask(self, text: str, work: Any) -> Any:
+    async def _call(self, text: str, work: Any) -> Any:
         self.store.recorder.write(self.name, "store", text)
         await asyncio.sleep(0)
         down = StoreUnavailable(reason="connection refused")
         answer = down if self.store.down else await work
         if self.store.down:
             work.close()
-        self.store.recorder.write("store", self.name, show_answer(answer))
+        self.store.recorder.write("store", self.name, format_answer(answer))
         return answer
 
     async def get(self, key: str) -> Any:
-        return await self._ask(f"get {key}", self.store.get(key))
+        return await self._call(f"get {key}", self.store.get(key))
 
     async def range(self, prefix: str) -> Any:
-        return await self._ask(f"range {prefix}", self._range(prefix))
+        return await self._call(f"range {prefix}", self._range(prefix))
 
     async def _range(self, prefix: str) -> Snapshot:
         entries = sorted(self.store.entries_of(prefix).values(), key=lambda e: e.key)
         return Snapshot(self.store.revision, tuple(entries))
 
     async def grant_lease(self, ttl_s: int) -> Any:
-        return await self._ask(f"grant {ttl_s} s", self.store.grant_lease(ttl_s))
+        return await self._call(f"grant {ttl_s} s", self.store.grant_lease(ttl_s))
 
     async def commit(self, compares: Any, changes: Any) -> Any:
         compares, changes = list(compares), list(changes)
-        wanted = [f"{c.key} at {c.mod_revision}" for c in compares]
+        conditions = [f"{c.key} at {c.mod_revision}" for c in compares]
         writes = [
             f"delete {c.key}"
             if isinstance(c, Delete)
             else f"put {c.key} {c.value.decode()}"
             for c in changes
         ]
-        text = f"if {' and '.join(wanted) or 'ever'}: {'; '.join(writes)}"
-        return await self._ask(text, self.store.commit(compares, changes))
+        text = f"if {' and '.join(conditions) or 'ever'}: {'; '.join(writes)}"
+        return await self._call(text, self.store.commit(compares, changes))
 
 
 class FakeTarget:
-    """The targets of a session: they echo, and count their runs."""
+    """Simulate the targets that one gateway calls; each answer echoes the request."""
 
     def __init__(self, recorder: Recorder, name: str) -> None:
         self.recorder, self.name = recorder, name
@@ -136,7 +136,7 @@
 
 
 class FakeNetwork:
-    """Messages between the processes of a session, through their real encoding."""
+    """The network between the processes of a session, with the real encoding."""
 
     def __init__(self, recorder: Recorder) -> None:
         self.recorder = recorder
@@ -151,13 +151,13 @@
             if address in self.cut or name in self.cut:
                 self.recorder.write(name, address, f"lost {type(body).__name__}")
                 return PeerUnreachable(reason=f"{address}: no reply")
-            received = self.carry(name, address, body)
+            received = self.deliver(name, address, body)
             reply = await self.handlers[address][type(received)](received)
-            return self.carry(address, name, reply)
+            return self.deliver(address, name, reply)
 
         return types.SimpleNamespace(ask=ask, handle=self.handlers[name].__setitem__)
 
-    def carry(self, source: str, dest: str, body: Any) -> Any:
+    def deliver(self, source: str, dest: str, body: Any) -> Any:
         clock = self.clocks[source].advance()
         envelope = Envelope(sender=source, clock=clock, correlation="1", body=body)
         data = msgspec.msgpack.encode(envelope)
@@ -168,7 +168,7 @@
 
 
 class GatewayBench:
-    """The real desks of one gateway behind its real routes."""
+    """The production handlers of one gateway behind its production routes."""
 
     def __init__(self, name: str, store: RecordingStore, network: FakeNetwork) -> None:
         self.name, self.recorder = name, store.recorder
@@ -184,7 +184,7 @@
         self.metrics = types.SimpleNamespace(count_request=lambda *_: None)
         membership: Any = types.SimpleNamespace(
             list_peers=self.list_peers,
-            list_all=lambda: [Peer(beat, 0.0) for beat in self.list_peers()],
+            list_all=lambda: [Peer(heartbeat, 0.0) for heartbeat in self.list_peers()],
         )
         self.id_registry = RequestIdRegistry(identity=self.identity, store=self.store)  # type: ignore[arg-type]
         self.targets = TargetTable(
@@ -226,7 +226,7 @@
         return [Heartbeat(identity=p.identity, revision=0) for p in self.peers]
 
     def read_setting(self, name: str) -> Any:
-        """Return a setting; no operators' token is set."""
+        """Return a setting: all are empty, so no operator token is required."""
         return ""
 
     def adopt(self, machines: list[Machine]) -> None:
@@ -235,13 +235,13 @@
         )
         self.targets.refresh()
 
-    def follow_store(self) -> None:
-        """Do what the watch on the configuration does."""
+    def sync_configuration(self) -> None:
+        """Load the configuration from the store, as the gateway's watch does."""
         store = self.store.store
         self.configuration.read_entries(store.entries_of(CONFIGURATION_PREFIX))
 
     async def call(self, who: str, method: str, path: str, body: Any = None) -> Any:
-        """Call the gateway as its HTTP border does, and return the body."""
+        """Call a route as the HTTP server does and return the decoded reply."""
         raw = b"" if body is None else json.dumps(body).encode()
         self.recorder.write(who, self.name, f"{method} {path} {raw.decode()}".rstrip())
         found: Any = routes.find(method, path)
@@ -255,7 +255,7 @@
         return json.loads(reply.body)
 
 
-def make_tokens() -> Any:
-    """Return a source of tokens that counts instead of drawing."""
+def make_token_source() -> Any:
+    """Return a token source that counts up instead of drawing random tokens."""
     numbers = itertools.count(1)
     return lambda size: f"{next(numbers):0{2 * size}x}"
