--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Start a site for the features that ask for one, and stop it after each."""
+"""Start the sites that features use, and stop them afterwards."""
 
 from standins.platform_site import PlatformSite
 from standins.proxy import Proxy
@@ -6,7 +6,7 @@
 
 
 def start_site(context, layout: Layout | None = None) -> Site:
-    """Start a site that ends with the scenario or feature that asked for it."""
+    """Start a site that is stopped when the calling scenario or feature ends."""
     site = Site(layout or Layout())
     context.add_cleanup(site.stop)
     context.site = site
@@ -15,10 +15,10 @@
 
 
 def start_platform(context, *, proxy: Proxy | None = None, **sizes) -> PlatformSite:
-    """Start the platform's stand-ins and nodes for as long as the caller lives.
+    """Start the platform's stand-ins and the nodes; the caller's end stops them.
 
-    With a ``proxy``, each node reaches the store, and all reach each worker, through
-    a link of their own.
+    With a ``proxy``, each node's connection to the store and the connections to each
+    worker go through separate links of the proxy.
     """
     site = PlatformSite(**sizes)
     if proxy is not None:
@@ -30,7 +30,7 @@
 
 
 def before_feature(context, feature):
-    """Start one site for a whole feature tagged ``@site``."""
+    """Start the site that a feature's ``@site`` or ``@platform`` tag asks for."""
     if "site" in feature.tags:
         start_site(context)
     if "platform" in feature.tags:
--- a/features/support/listener.py
+++ b/features/support/listener.py
@@ -1,4 +1,4 @@
-"""A listener of the product's with small limits, as a process of its own."""
+"""Run the production HTTP server with small limits, as a separate process."""
 
 import argparse
 
--- a/features/support/request_load.py
+++ b/features/support/request_load.py
@@ -12,14 +12,16 @@
 class SteadyLoad:
     """Two callers per gateway; on a refused connection they use the next gateway."""
 
-    def __init__(self, desk: RequestSite, **fields: Any) -> None:
-        self.desk = desk
+    def __init__(self, request_site: RequestSite, **fields: Any) -> None:
+        self.request_site = request_site
         self.fields = fields
         self.done: list[str] = []
         self.problems: list[str] = []
         self._stop = threading.Event()
         addresses = [
-            desk.site.addresses[n] for n in desk.site.list_gateways() for _ in range(2)
+            request_site.site.addresses[n]
+            for n in request_site.site.list_gateways()
+            for _ in range(2)
         ]
         count = len(addresses)
         self._threads = [
@@ -35,18 +37,18 @@
             thread.join()
 
     def _run(self, addresses: list[str]) -> None:
-        places = itertools.cycle(addresses)
-        connection = _connect(next(places))
+        address_cycle = itertools.cycle(addresses)
+        connection = _connect(next(address_cycle))
         while not self._stop.is_set():
-            request = self.desk.make(**self.fields)
+            request = self.request_site.make(**self.fields)
             while not self._ask(connection, request) and not self._stop.is_set():
                 connection.close()
-                connection = _connect(next(places))
+                connection = _connect(next(address_cycle))
         connection.close()
 
     def _ask(self, connection: http.client.HTTPConnection, request: Any) -> bool:
         """Return whether the connection was accepted; record any problem."""
-        path = f"/v1/services/{self.desk.site.layout.service}/requests"
+        path = f"/v1/services/{self.request_site.site.layout.service}/requests"
         try:
             connection.request("POST", path, body=json.dumps(request))
             answer = json.loads(connection.getresponse().read())
--- a/features/support/stranger.py
+++ b/features/support/stranger.py
@@ -1,4 +1,4 @@
-"""A process without manners, which sends what is no message."""
+"""Send malformed or oversized traffic to a listener, from a separate process."""
 
 import contextlib
 import random
@@ -9,7 +9,7 @@
 
 
 def send_raw(address: str, frames: list[bytes]) -> None:
-    """Send frames as a process without manners would."""
+    """Send frames over ZeroMQ without the product's encoding or handshake."""
     context = zmq.Context()
     dealer = context.socket(zmq.DEALER)
     dealer.linger = 3000
@@ -25,7 +25,7 @@
     rng = random.Random(3)
     if what == "5 MB of random bytes":
         peer = socket.create_connection((host, int(port)))
-        # The listener may close in the middle.
+        # The listener may close the connection before all bytes are sent.
         with contextlib.suppress(OSError):
             peer.sendall(rng.randbytes(5_000_000))
         peer.close()
