--- a/features/isolation_cut.feature
+++ b/features/isolation_cut.feature
@@ -1,6 +1,6 @@
-Feature: A failure domain that is cut off serves what it can and rejoins without a double run
+Feature: A partitioned failure domain serves what it can and rejoins without a double run
 
-  Scenario Outline: Cut off from <what>, <times>
+  Scenario Outline: Partitioned from <what>, <times>
     A failure domain is partitioned while a gang runs there, and callers and
     operators go on calling its gateway. Calls that need nothing outside must be
     served; the others must be refused with the true reason and a time to retry. A
--- a/features/jobs_reclaim.feature
+++ b/features/jobs_reclaim.feature
@@ -6,13 +6,13 @@
     Given a jobs site where borrowers fill all workers
     When the owner submits a gang of its shape
     Then the owner's gang runs within 10 seconds
-    And the evicted borrowers run again once the owner's gang is done
+    And the preempted borrowers run again once the owner's gang is done
 
-  Scenario: Tasks that ignore a polite stop do not hold the shape
-    The borrowers' tasks do not react to a polite stop. If the leader waited for them,
+  Scenario: Tasks that ignore a graceful stop do not hold the shape
+    The borrowers' tasks do not react to a graceful stop. If the leader waited for them,
     any task could delay the reclaim without bound.
     Given a jobs site where borrowers fill all workers
-    And the borrowers' tasks ignore a polite stop
+    And the borrowers' tasks ignore a graceful stop
     When the owner submits a gang of its shape
     Then the owner's gang runs within 15 seconds
 
@@ -20,7 +20,7 @@
     The leader dies after it has ordered borrowers to stop and before they have
     stopped. The next leader finds the owner's gang queued and borrowers on its shape.
     Given a jobs site where borrowers fill all workers
-    And the borrowers' tasks ignore a polite stop
+    And the borrowers' tasks ignore a graceful stop
     When the owner submits a gang of its shape
     And the leader is killed while it preempts for the owner
     Then the owner's gang runs within 30 seconds
--- a/features/node_attendance.feature
+++ b/features/node_attendance.feature
@@ -1,6 +1,6 @@
-Feature: Workers that come back are found before their leases end
+Feature: Workers that come back are polled before their leases expire
 
-  Scenario Outline: A worker with runs is asked again soon, an idle one now and then
+  Scenario Outline: A worker with runs is polled again soon, an idle one less often
     A failure domain is partitioned for six seconds. When the partition ends, the leases
     there have a second or two left. Polled only each second and a half, many workers
     were reached too late: gangs with ten seconds of work had just expired.
--- a/features/node_handover.feature
+++ b/features/node_handover.feature
@@ -1,4 +1,4 @@
-Feature: A leader on a small link gives way to a larger VM
+Feature: A leader on a small link hands over to a larger VM
 
   Scenario Outline: A leader hands over only to a fitter VM with a larger link
     Guards against handovers that gain nothing, and leaders that never hand over.
@@ -14,7 +14,7 @@
       | 5.0    | 0.5   | 10.0   | 0.25 | does not hand over |
       | 100.0  | 0.25  | 1000.0 | 0.0  | does not hand over |
 
-  Scenario: A leader that gets the leadership back gives way less and less often
+  Scenario: A leader that gets the leadership back hands over less and less often
     Guards against endless handovers while the larger VM cannot take over.
     Given a leader with a link of 5.0 Mbit/s whose campaigns wait 0.5 s
     And a peer with 100.0 Mbit/s whose campaigns wait 0.0 s
--- a/features/node_isolation.feature
+++ b/features/node_isolation.feature
@@ -1,4 +1,4 @@
-Feature: A node that is cut off sends its callers where they can be served
+Feature: A partitioned node sends its callers where they can be served
 
   Scenario Outline: A partitioned node reaches neither the store nor another domain
     A failure domain is partitioned for five seconds while its callers still reach it.
@@ -17,12 +17,12 @@
       | 1.0    | 0.1    | is     |
       | 6.0    | 6.0    | is     |
 
-  Scenario: A fleet in one failure domain is never cut off
+  Scenario: A fleet in one failure domain is never partitioned
     Given no node of another failure domain is known
     And the store has been unreachable for 6.0 s
     Then a node is not partitioned
 
-  Scenario: A cut of the own failure domain is noticed within a second and a half
+  Scenario: A partition of the own failure domain is detected within a second and a half
     Callers wait three seconds. The load balancer reacts to the second failed check, a
     second after the first, which leaves little more than a second to detect a partition.
     Given a fleet of 3 failure domains with 2 nodes each
@@ -31,7 +31,7 @@
     When the partition has been over for 1.0 s
     Then the other domains count as silent for at most 0.7 s
 
-  Scenario: A cut of another failure domain is not taken for one's own
+  Scenario: A partition of another failure domain is not taken for one's own
     If all greetings of a second went to the partitioned domain during an outage of the
     store, the nodes of a healthy domain would consider themselves partitioned. They would
     report so to the load balancer, and callers would be sent elsewhere for nothing.
@@ -39,7 +39,7 @@
     When another domain is partitioned for 6.0 s
     Then the other domains never counted as silent for 0.9 s
 
-  Scenario: A cut that lasts longer than peers are remembered stays one
+  Scenario: A partition that lasts longer than peers are remembered is still detected
     Peers that are silent for long are forgotten. If the silence were forgotten with them,
     a partition of half a minute would seem over, and callers would be sent back to a node
     that can store nothing.
--- a/features/protocol_cuts.feature
+++ b/features/protocol_cuts.feature
@@ -3,7 +3,7 @@
   Leases are short here: 2 s from the start of a member until its whole gang is
   confirmed, 6 s afterwards, 2 s for the leadership.
 
-  Scenario: A worker is cut off during the run
+  Scenario: A worker is partitioned during the run
     The network between the scheduler and one worker is partitioned. The member
     there can neither be observed nor stopped, and ends when its lease expires. The
     gang may start again elsewhere only after that.
--- a/features/requests_answers.feature
+++ b/features/requests_answers.feature
@@ -29,14 +29,14 @@
     When 20 callers send 2 single-run requests each, all at once
     Then every caller got the complete answer to each of its requests, or none
     And no request ran twice
-    And at least <whole> of the answers are complete
+    And at least <complete> of the answers are complete
 
     Examples:
-      | mode       | whole |
-      | crossed    | 28    |
-      | truncated  | 28    |
-      | duplicated | 40    |
-      | closing    | 40    |
+      | mode       | complete |
+      | crossed    | 28       |
+      | truncated  | 28       |
+      | duplicated | 40       |
+      | closing    | 40       |
 
   Scenario: Answers come late, in another order than the requests
     The answer to an earlier request arrives while its caller already waits for
--- a/features/requests_memory.feature
+++ b/features/requests_memory.feature
@@ -28,7 +28,7 @@
     Then the id "x" may run, once
     And the refused ticket may run, once
 
-  Scenario: A refused id is not run under a claim that has lapsed
+  Scenario: A refused id is not run under a claim that has expired
     The claim expires in the store after an hour, and another gateway may then take
     the id. This gateway must not rely on its memory for longer than the claim.
 
@@ -45,7 +45,7 @@
     When the claim of "y" is written, but the store answers nothing
     Then the id "y" may run, once
 
-  Scenario: A claim that was written late is about to lapse
+  Scenario: A claim that was written late is about to expire
     As before, but the caller retries after an hour, just before the claim expires in
     the store. If the id ran now, another gateway could claim and run it as well.
 
--- a/features/steps/jobs_reclaim_steps.py
+++ b/features/steps/jobs_reclaim_steps.py
@@ -75,7 +75,7 @@
     context.reclaim = ReclaimCheck(context)
 
 
-@given("the borrowers' tasks ignore a polite stop")
+@given("the borrowers' tasks ignore a graceful stop")
 def ignore_stops(context):
     for name in context.reclaim.list_workers():
         context.reclaim.site.behave(name, ignore_polite=True)
@@ -107,7 +107,7 @@
     context.reclaim.wait_state(context.owner, "running", seconds)
 
 
-@then("the evicted borrowers run again once the owner's gang is done")
+@then("the preempted borrowers run again once the owner's gang is done")
 def check_borrowers(context):
     check = context.reclaim
     assert check.count_running() == WORKERS - 2
