--- a/features/engine_evictions.feature
+++ b/features/engine_evictions.feature
@@ -16,7 +16,7 @@
     capacity.
     Given workers 0 to 3, and two gangs of 2 running on them
     When an urgent job of one task preempts work
-    And the ends of the stopped gang are heard of after 3 s
+    And the ends of the stopped gang are reported after 3 s
     Then one gang was stopped
     And the urgent job has started
 
@@ -24,7 +24,7 @@
     A worker that answers but does not stop its tasks must not keep urgent work waiting.
     Given workers 0 to 3, and two gangs of 2 running on them
     When an urgent job of one task preempts work
-    And the ends of the stopped gang are not heard of for 6 s
+    And the ends of the stopped gang are not reported for 6 s
     Then both gangs were stopped
 
   Scenario: Preempted work does not start again at once
@@ -33,7 +33,7 @@
     later. This took hundreds of orders a second, and delayed the urgent jobs.
     Given workers 0 to 3, and two gangs of 2 running on them
     When an urgent job of one task preempts work
-    And the ends of the stopped gang are heard of after 0 s
+    And the ends of the stopped gang are reported after 0 s
     And the other gang is done
     Then the stopped gang does not start within 0.7 s
     And it starts within 1.3 s
--- a/features/engine_refusing.feature
+++ b/features/engine_refusing.feature
@@ -1,4 +1,4 @@
-Feature: A caller that is refused learns when to come back
+Feature: A caller that is refused learns when to retry
 
   Scenario Outline: The longer a store outage lasts, the later callers come back
     The store is unavailable for several seconds, and a caller retries four times at
@@ -22,7 +22,7 @@
   Scenario Outline: Small VMs let larger ones lead
     A VM with a slow link or processor that wins the election keeps its lease, but takes
     seconds to read the records. Nothing is scheduled meanwhile.
-    Then a VM with <cores> cores and <link> Mbit/s stands <delay> s after the others
+    Then a VM with <cores> cores and <link> Mbit/s campaigns <delay> s after the others
 
     Examples:
       | cores | link   | delay |
--- a/features/engine_stalls.feature
+++ b/features/engine_stalls.feature
@@ -15,7 +15,7 @@
     A worker may also hang at the end, and its gang would otherwise wait for ever.
     Given workers 0 to 2 running a gang "g" of 3 since 0 s
     When its members are at 100, 100 and 100 per cent after 1 s
-    And nothing is heard of any progress for 6 s
+    And no progress is reported for 6 s
     Then the run of "g" is aborted
 
   Scenario Outline: Work is aborted when waiting has cost as much as doing it again
@@ -24,7 +24,7 @@
     was almost over.
     Given workers 0 to 2 running a gang "g" of 3, <saving>, since 0 s
     When its members are at 80, 80 and 80 per cent after 8 s
-    And nothing is heard of any progress for <quiet> s
+    And no progress is reported for <quiet> s
     Then the run of "g" <fate>
 
     Examples:
@@ -38,7 +38,7 @@
     Given workers 0 to 2 running a gang "g" of 3, which saves nothing, since 0 s
     And a gang "h" of 3 running beside it
     When its members are at 80, 80 and 80 per cent after 8 s
-    And nothing is heard of any progress for 6 s
+    And no progress is reported for 6 s
     Then the run of "g" goes on
     And workers 0 to 2 are quarantined
 
@@ -56,9 +56,9 @@
     with one reported member counted as one task, and the first urgent job preempted it.
     Given workers 0 to 2 running a gang "old" of 3 since 0 s
     And workers 3 to 3 running a gang "single" of 1 since 0 s
-    When another leader has heard of "old" from worker 0 at 40 per cent, of "single" at 60
+    When another leader has a report of "old" from worker 0 at 40 per cent, of "single" at 60
     And an urgent job of one task finds no free capacity there
-    Then "single" is stopped and "old" goes on as far as was heard
+    Then "single" is stopped and "old" goes on as far as is known
 
   Scenario: A successor learns no run times from work that it did not see start
     Inherited work ends soon after the takeover. When run times were learned from it, all
--- a/features/steps/engine_days_steps.py
+++ b/features/steps/engine_days_steps.py
@@ -131,7 +131,7 @@
 
 
 class UncachedEstimates(Estimates):
-    """Computes each estimate anew."""
+    """Computes each estimate without a cache."""
 
     def estimate_remaining(self, unit, now):
         self.begin_pass()
--- a/features/steps/engine_evictions_steps.py
+++ b/features/steps/engine_evictions_steps.py
@@ -87,7 +87,7 @@
         world.plan()
 
 
-@when("the ends of the stopped gang are heard of after {seconds:d} s")
+@when("the ends of the stopped gang are reported after {seconds:d} s")
 def report_late(context, seconds):
     world = context.world
     wait(world, seconds)
@@ -98,7 +98,7 @@
     world.accept(world.start_all())
 
 
-@when("the ends of the stopped gang are not heard of for {seconds:d} s")
+@when("the ends of the stopped gang are not reported for {seconds:d} s")
 def report_nothing(context, seconds):
     wait(context.world, seconds)
     context.stopped = list_stopped(context.world, ("one", "two"))
--- a/features/steps/engine_refusing_steps.py
+++ b/features/steps/engine_refusing_steps.py
@@ -36,7 +36,8 @@
 
 
 @then(
-    "a VM with {cores:f} cores and {link:f} Mbit/s stands {delay:f} s after the others"
+    "a VM with {cores:f} cores and {link:f} Mbit/s campaigns {delay:f} s "
+    "after the others"
 )
 def check_delay(context, cores, link, delay):
     assert choose_campaign_delay(processor_cores=cores, link_mbps=link) == delay
--- a/features/steps/engine_stalls_steps.py
+++ b/features/steps/engine_stalls_steps.py
@@ -102,7 +102,7 @@
     poll_for(context, seconds, grow)
 
 
-@when("nothing is heard of any progress for {seconds:d} s")
+@when("no progress is reported for {seconds:d} s")
 def stall(context, seconds):
     poll_for(context, seconds, lambda _: {"g": context.percents, "h": context.percents})
 
@@ -178,7 +178,7 @@
 
 
 @when(
-    'another leader has heard of "{gang}" from worker 0 at {one:d} per cent, '
+    'another leader has a report of "{gang}" from worker 0 at {one:d} per cent, '
     'of "{single}" at {other:d}'
 )
 def report_some(context, gang, one, single, other):
@@ -198,7 +198,7 @@
     submit_urgent(context.world)
 
 
-@then('"{stopped}" is stopped and "{kept}" goes on as far as was heard')
+@then('"{stopped}" is stopped and "{kept}" goes on as far as is known')
 def check_reported(context, stopped, kept):
     world = context.world
     phases = {
--- a/features/steps/golden_steps.py
+++ b/features/steps/golden_steps.py
@@ -20,12 +20,14 @@
     assert files == set(names), files
 
 
-@then("one changed field of a golden session shows as a diff of at most {most:d} lines")
-def check_diff(context, most):
+@then(
+    "one changed field of a golden session shows as a diff of at most {limit:d} lines"
+)
+def check_diff(context, limit):
     expected = golden.read_golden_file("operator_race")
     changed = expected.replace('"type":"revision_conflict"', '"type":"conflict"')
     assert expected != changed
     lines = golden.compare("operator_race", changed).splitlines()
-    assert 0 < len(lines) <= most, lines
+    assert 0 < len(lines) <= limit, lines
     assert any(x[0] == "-" and '"type":"conflict"' in x for x in lines), lines
     assert any(x[0] == "+" and '"type":"revision_conflict"' in x for x in lines), lines
--- a/features/steps/node_configuration_steps.py
+++ b/features/steps/node_configuration_steps.py
@@ -156,8 +156,8 @@
 
 @then("no node's link of {mbps:d} Mbit/s was busy for more than {seconds:f} s")
 def check_link(context, mbps, seconds):
-    most = max(context.exchange.sent.values())
-    assert most * 8 / (mbps * 1e6) <= seconds, most
+    max_bytes = max(context.exchange.sent.values())
+    assert max_bytes * 8 / (mbps * 1e6) <= seconds, max_bytes
 
 
 @then("the nodes sent less than {times:f} times the configuration each on average")
@@ -182,20 +182,20 @@
             for fleet, _configuration in context.nodes.values():
                 fleet.greet_peers()
             await asyncio.sleep(GREETING_INTERVAL_S)
-            most = max(map(len, context.exchange.greeted.values()))
-            context.busiest = max(getattr(context, "busiest", 0), most)
+            max_greeted = max(map(len, context.exchange.greeted.values()))
+            context.busiest = max(getattr(context, "busiest", 0), max_greeted)
         await close(context)
 
     run_in_virtual_time(greet())
 
 
-@then("no node greeted more than {most:d} others within {seconds:d} s")
-def check_greeted(context, most, seconds):
+@then("no node greeted more than {limit:d} others within {seconds:d} s")
+def check_greeted(context, limit, seconds):
     assert seconds == IDLE_LINK_S
-    assert context.busiest <= most, context.busiest
+    assert context.busiest <= limit, context.busiest
 
 
 @then("every node knows at least {count:d} others")
 def check_known(context, count):
-    least = min(len(fleet.list_peers()) for fleet, _ in context.nodes.values())
-    assert least >= count, least
+    min_known = min(len(fleet.list_peers()) for fleet, _ in context.nodes.values())
+    assert min_known >= count, min_known
