--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -89,7 +89,7 @@
         path = "/v1/services/planwerk/requests"
         return (kind, *call(self.site.gateway(self.third), "POST", path, body))
 
-    def cut(self, what: str) -> None:
+    def partition(self, what: str) -> None:
         if "others" in what:
             self.site.cut(*(p for p in self.operators.pairs if self.third in p))
         if "store" in what:
@@ -103,7 +103,7 @@
         """Partition the third, make one call of each kind, and heal the network."""
         bodies = [(kind, self.prepare(kind)) for kind in CALL_KINDS]
         began = time.monotonic()
-        self.cut(what)
+        self.partition(what)
         answers = list(self.pool.map(lambda c: self.send(*c), bodies))
         self.calls += bodies
         self.answers += answers
--- a/features/steps/jobs_worker_steps.py
+++ b/features/steps/jobs_worker_steps.py
@@ -13,14 +13,14 @@
 from firladder._internal.policies.selectors import Selector, parse_selector
 
 
-class ConductCheck:
+class WorkerRecord:
     """The failure record of a worker on which distinct jobs have failed twice each."""
 
     def __init__(self, failures: int) -> None:
-        self.conduct = WorkerHealth()
+        self.health = WorkerHealth()
         for number in range(failures):
-            self.conduct.record_failure(f"job-{number}", 100.0)
-            self.conduct.record_failure(f"job-{number}", 100.0)
+            self.health.record_failure(f"job-{number}", 100.0)
+            self.health.record_failure(f"job-{number}", 100.0)
 
 
 class SelectorCheck:
@@ -48,35 +48,35 @@
 
 
 @given("a jobs-world worker with failures of {count:d} distinct jobs")
-def make_conduct(context, count):
-    context.conduct = ConductCheck(count).conduct
+def make_worker_health(context, count):
+    context.health = WorkerRecord(count).health
 
 
 @then("the worker takes nothing new")
 def check_closed(context):
-    assert context.conduct.quarantined
-    assert not context.conduct.accepts_work(100.0 + PROBE_AFTER_S - 1, busy=False)
+    assert context.health.quarantined
+    assert not context.health.accepts_work(100.0 + PROBE_AFTER_S - 1, busy=False)
 
 
 @then("after the quarantine it takes one probe and no second job beside it")
 def check_probe(context):
-    assert context.conduct.accepts_work(100.0 + PROBE_AFTER_S, busy=False)
-    assert not context.conduct.accepts_work(100.0 + PROBE_AFTER_S, busy=True)
+    assert context.health.accepts_work(100.0 + PROBE_AFTER_S, busy=False)
+    assert not context.health.accepts_work(100.0 + PROBE_AFTER_S, busy=True)
 
 
 @then("a failed probe doubles the quarantine, and a success ends it")
 def check_return(context):
     at = 100.0 + PROBE_AFTER_S
-    context.conduct.record_failure("probe", at)
-    assert not context.conduct.accepts_work(at + 2 * PROBE_AFTER_S - 1, busy=False)
-    assert context.conduct.accepts_work(at + 2 * PROBE_AFTER_S, busy=False)
-    context.conduct.record_success()
-    assert not context.conduct.quarantined
+    context.health.record_failure("probe", at)
+    assert not context.health.accepts_work(at + 2 * PROBE_AFTER_S - 1, busy=False)
+    assert context.health.accepts_work(at + 2 * PROBE_AFTER_S, busy=False)
+    context.health.record_success()
+    assert not context.health.quarantined
 
 
 @then("the worker is not in quarantine")
 def check_open(context):
-    assert not context.conduct.quarantined
+    assert not context.health.quarantined
 
 
 @then("a job that failed on 3 healthy workers is at fault, on quarantined ones not")
@@ -110,8 +110,8 @@
 @when("a queued job has failed on {count:d} of the jobs-world workers")
 def fail_job(context, count):
     world = World(context.machines, {"daily": Organisation()})
-    bad = frozenset(m.name for m in context.machines[:count])
-    context.bad_job = world.submit("daily", avoid=bad)
+    failed_on = frozenset(m.name for m in context.machines[:count])
+    context.bad_job = world.submit("daily", avoid=failed_on)
     context.actions = world.policy(world.view())
 
 
--- a/features/steps/node_isolation_steps.py
+++ b/features/steps/node_isolation_steps.py
@@ -107,7 +107,7 @@
     """Greet as the node does; return the longest silence measured meanwhile."""
     longest = 0.0
 
-    async def go_on():
+    async def advance():
         nonlocal longest
         until = context.clock.now + seconds
         due = context.clock.now
@@ -121,7 +121,7 @@
             await asyncio.sleep(0.001)
             longest = max(longest, context.fleet.measure_silence() or 0.0)
 
-    asyncio.run(go_on())
+    asyncio.run(advance())
     return longest
 
 
--- a/features/steps/protocol_leadership_steps.py
+++ b/features/steps/protocol_leadership_steps.py
@@ -23,9 +23,9 @@
         return min(epochs) > protocol.epoch
 
     wait_for(is_claimed, 20, "a successor that commands every worker")
-    spent_s = time.monotonic() - protocol.stopped_at
-    print(f"takeover took {spent_s:.2f} s")
-    assert spent_s <= limit_s, spent_s
+    takeover_s = time.monotonic() - protocol.stopped_at
+    print(f"takeover took {takeover_s:.2f} s")
+    assert takeover_s <= limit_s, takeover_s
 
 
 @when("the protocol leader that was frozen wakes")
--- a/features/steps/requests_memory_steps.py
+++ b/features/steps/requests_memory_steps.py
@@ -146,7 +146,7 @@
 
 
 @then('the id "{request_id}" belongs to the other gateway')
-def check_theirs(context, request_id):
+def check_other_owner(context, request_id):
     owner = context.ids.find(request_id)
     assert isinstance(owner, OwnedElsewhere), owner
 
--- a/features/support/golden.py
+++ b/features/support/golden.py
@@ -191,10 +191,10 @@
         await first.call("squad", "POST", "/v1/jobs", job)
         await first.call("operator", "POST", "/v1/config", change)
         recorder.title("the gateways are partitioned from each other too")
-        fleet.network.cut = {"gateway-1"}
+        fleet.network.partitioned = {"gateway-1"}
         await second.call("coach", "POST", REQUESTS, make_request(other))
         recorder.title("the store and the network are back")
-        fleet.store.down, fleet.network.cut = False, set()
+        fleet.store.down, fleet.network.partitioned = False, set()
         await second.call("coach", "POST", REQUESTS, make_request(other))
         await first.call("coach", "POST", REQUESTS, make_request("own-1"))
         await first.call("squad", "POST", "/v1/jobs", job)
--- a/features/support/golden_parts.py
+++ b/features/support/golden_parts.py
@@ -142,13 +142,13 @@
         self.recorder = recorder
         self.handlers: dict[str, dict[type, Any]] = {}
         self.clocks: dict[str, LogicalClock] = {}
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
 
     def connect(self, name: str, logical: LogicalClock) -> Any:
         self.handlers[name], self.clocks[name] = {}, logical
 
         async def ask(address: str, body: Any, *, timeout_s: float) -> Any:
-            if address in self.cut or name in self.cut:
+            if address in self.partitioned or name in self.partitioned:
                 self.recorder.write(name, address, f"lost {type(body).__name__}")
                 return PeerUnreachable(reason=f"{address}: no reply")
             received = self.deliver(name, address, body)
