--- a/features/steps/engine_days_steps.py
+++ b/features/steps/engine_days_steps.py
@@ -11,7 +11,7 @@
 from firladder._internal.evaluation.day_driver import DayDriver
 from firladder._internal.evaluation.day_loads import DAYS, HEAVY, URGENT, DayJob
 from firladder._internal.evaluation.day_policies import PLANNERS
-from firladder._internal.evaluation.day_report import play_days
+from firladder._internal.evaluation.day_report import simulate_days
 from standins.site import ROOT
 
 
@@ -19,7 +19,7 @@
 def play(context, day, one, two, planners):
     first, other = (name.strip('"') for name in planners.split(" and "))
     context.outcomes = {
-        name: play_days(day, name, [one, two]) for name in (first, other)
+        name: simulate_days(day, name, [one, two]) for name in (first, other)
     }
 
 
@@ -60,8 +60,8 @@
 
 @then("every job has ended, and lost work is counted")
 def check_ended(context):
-    accounts = context.driver.accounts.values()
-    left = [a.job.accepted.job_id for a in accounts if a.ended_at is None]
+    job_outcomes = context.driver.job_outcomes.values()
+    left = [a.job.accepted.job_id for a in job_outcomes if a.ended_at is None]
     assert not left, left
     assert context.outcome.lost_core_s > 0
 
@@ -95,11 +95,11 @@
 
 @then("the saved work ends within 13 s of its arrival, and nothing was lost")
 def check_saved(context):
-    took = {a.job.kind.name: a.took_s for a in context.driver.accounts.values()}
+    took = {a.job.kind.name: a.took_s for a in context.driver.job_outcomes.values()}
     assert 12.0 < took["heavy"] < 13.0, took
     assert took["urgent"] < 3.0, took
     assert context.outcome.lost_core_s == 0
-    assert context.outcome.evictions == 1
+    assert context.outcome.preemptions == 1
 
 
 @when('"{arguments}" is run')
--- a/src/firladder/_internal/commands/evaluate_days.py
+++ b/src/firladder/_internal/commands/evaluate_days.py
@@ -6,7 +6,7 @@
 from ..cli.exit_codes import EXIT_OK
 from ..evaluation.day_loads import DAYS
 from ..evaluation.day_policies import PLANNERS
-from ..evaluation.day_report import format_head, format_row, play_days
+from ..evaluation.day_report import format_header, format_row, simulate_days
 from ..utils.settings import ResolvedSetting, Setting, check_text
 from .evaluate import check_names, read_numbers
 from .registry import Command
@@ -30,10 +30,10 @@
         known = PLANNERS.list_names()
         planners = _choose("planners", settings["planners"].value, known)
         seeds = read_numbers("day_seeds", settings["day_seeds"].value)
-        sys.stdout.write(format_head())
+        sys.stdout.write(format_header())
         for day in days:
             for planner in planners:
-                row = format_row(day, planner, play_days(day, planner, seeds))
+                row = format_row(day, planner, simulate_days(day, planner, seeds))
                 sys.stdout.write(row)
                 sys.stdout.flush()
         return EXIT_OK
--- a/src/firladder/_internal/evaluation/day_driver.py
+++ b/src/firladder/_internal/evaluation/day_driver.py
@@ -114,7 +114,7 @@
     by_kind: dict[str, float]
     missed_by: dict[str, float]
     lost_core_s: float
-    evictions: int
+    preemptions: int
     worst: float
 
 
@@ -140,9 +140,9 @@
             self.core, reclaim_s=RECLAIM_S, restart_s=STOP_S + RESTORE_S
         )
         self._paces = day.paces
-        self.accounts = {j.accepted.job_id: Account(j) for j in day.jobs}
+        self.job_outcomes = {j.accepted.job_id: Account(j) for j in day.jobs}
         self.lost_core_s = 0.0
-        self.evictions = 0
+        self.preemptions = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = itertools.count()
         self._numbers: defaultdict[str, itertools.count[int]] = defaultdict(
@@ -169,7 +169,7 @@
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
             action()
-            if all(a.ended_at is not None for a in self.accounts.values()):
+            if all(a.ended_at is not None for a in self.job_outcomes.values()):
                 break
         return self._sum_up()
 
@@ -177,7 +177,7 @@
         heapq.heappush(self._events, (when, next(self._sequence), action))
 
     def _note(self, what: str, **inputs: object) -> None:
-        self.evictions += what == "room made"
+        self.preemptions += what == "room made"
 
     def _make_arrival(self, job: DayJob) -> Callable[[], None]:
         def arrive() -> None:
@@ -232,7 +232,7 @@
         return start
 
     def _begin(self, unit: Unit) -> None:
-        account = self.accounts[unit.job.accepted.job_id]
+        account = self.job_outcomes[unit.job.accepted.job_id]
         at = self.now - START_AT
         if id(unit) not in self._begun:
             self._begun.add(id(unit))
@@ -292,7 +292,7 @@
         number = next(self._numbers[worker_id])
         end = EndedTask(number, placement.task, placement.run, how, "")
         self._report(worker_id, (end,))
-        account = self.accounts[placement.task.job_id]
+        account = self.job_outcomes[placement.task.job_id]
         job = self.core.jobs[placement.task.job_id]
         if job.state is JobState.COMPLETED and account.ended_at is None:
             account.ended_at = self.now - START_AT
@@ -322,7 +322,7 @@
         owed: defaultdict[str, float] = defaultdict(float)
         earned: defaultdict[str, float] = defaultdict(float)
         missed: defaultdict[str, float] = defaultdict(float)
-        for account in self.accounts.values():
+        for account in self.job_outcomes.values():
             kind = account.job.kind
             owed[kind.name] += account.owed
             earned[kind.name] += account.earned
@@ -334,14 +334,14 @@
             {name: earned[name] / owed[name] for name in owed},
             dict(missed),
             self.lost_core_s,
-            self.evictions,
+            self.preemptions,
             self._find_worst(),
         )
 
     def _find_worst(self) -> float:
         """Return the share of its worth that the worst windows' work earned."""
         windows: defaultdict[int, list[Account]] = defaultdict(list)
-        for account in self.accounts.values():
+        for account in self.job_outcomes.values():
             at = account.job.accepted.accepted_at_s
             if at >= 0:
                 windows[int(at / WINDOW_S)].append(account)
--- a/src/firladder/_internal/evaluation/day_report.py
+++ b/src/firladder/_internal/evaluation/day_report.py
@@ -11,7 +11,7 @@
 CAUSES = ("waited for room", "evicted or lost", "spread over racks", "never begun")
 
 
-def play_days(day: str, planner: str, seeds: Sequence[int]) -> list[DayOutcome]:
+def simulate_days(day: str, planner: str, seeds: Sequence[int]) -> list[DayOutcome]:
     """Play a registered day under a registered planner, once a seed."""
     make_day, kind = DAYS.find(day), PLANNERS.find(planner)
     if make_day is None or kind is None:
@@ -19,7 +19,7 @@
     return [DayDriver(make_day(seed), kind).run() for seed in seeds]
 
 
-def format_head() -> str:
+def format_header() -> str:
     """Return the head of the table."""
     names = ["day", "planner", "earned", *KINDS]
     names += [f"missed: {cause}" for cause in CAUSES]
@@ -40,6 +40,6 @@
         for cause in CAUSES
     ]
     cells.append(f"{statistics.mean(o.lost_core_s for o in outcomes):.0f}")
-    cells.append(f"{statistics.mean(o.evictions for o in outcomes):.1f}")
+    cells.append(f"{statistics.mean(o.preemptions for o in outcomes):.1f}")
     cells.append(f"{statistics.mean(o.worst for o in outcomes):.3f}")
     return f"| {' | '.join(cells)} |\n"
