--- a/features/steps/engine_days_steps.py
+++ b/features/steps/engine_days_steps.py
@@ -38,7 +38,7 @@
 @then('every job that "{name}" started has ended')
 def check_started(context, name):
     missed = [o.missed_by for o in context.outcomes[name]]
-    assert not any("never begun" in row for row in missed), missed
+    assert not any("never started" in row for row in missed), missed
 
 
 @then("all outcomes are the same")
--- a/src/firladder/_internal/evaluation/__init__.py
+++ b/src/firladder/_internal/evaluation/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded loads and a driver that puts the placement policies through them."""
+"""Simulations that compare policies and planners under seeded loads."""
--- a/src/firladder/_internal/evaluation/day_driver.py
+++ b/src/firladder/_internal/evaluation/day_driver.py
@@ -1,7 +1,8 @@
-"""Drive the scheduling core through a day, without a network or a clock.
+"""Simulate a day of jobs on the scheduling core, without a network or a clock.
 
-Workers do what they are told after a fixed delay; what is measured is what the
-decisions make of the day: who is in time, what delayed the others, what was lost.
+Workers carry out orders after a fixed delay, so that the outcome depends on the
+planner's decisions alone: which jobs were in time, what delayed the others, and how
+much work was lost.
 """
 
 import dataclasses
@@ -17,56 +18,58 @@
 from ..engine.preemption import ACCELERATOR_CORES
 from ..engine.state import JobState, Phase, Placement, Unit
 from ..models.order import EndedTask, Ending, RunningTask, TaskId, WorkerReport
-from .day_loads import DAY_S, FILLED_AT_S, Day, DayJob
+from .day_loads import DAY_S, INITIAL_JOBS_AT_S, Day, DayJob
 
-HOLD_S = 6.0
+LEASE_S = 6.0
 
 RECLAIM_S = 3.4
-"""Seconds within which guaranteed work must begin."""
+"""Seconds within which guaranteed work must start."""
 
-START_S = 0.06
-"""Seconds from a plan to the task at work: a write to the store and an order."""
+START_DELAY_S = 0.06
+"""Seconds from a plan to the running task: a write to the store and an order."""
 
-STOP_S = 0.2
-"""Seconds from a stop to its end as the leader reads it."""
+STOP_DELAY_S = 0.2
+"""Seconds from a stop order until the leader reads the end of the task."""
 
 RESTORE_S = 0.1
-"""Seconds for which a task that goes on from a checkpoint is restored."""
+"""Seconds that restoring a task from a checkpoint takes."""
 
-REPORT_S = 0.5
-"""Seconds between two looks at all workers, for their progress."""
+REPORT_INTERVAL_S = 0.5
+"""Seconds between two polls of all workers for their progress."""
 
-PASS_S = 0.01
-AFTER_S = 60.0
-"""Seconds after the last arrival for which a day goes on."""
+PASS_DELAY_S = 0.01
 
-FAR_FACTOR = 3.0
-"""How many times as long a gang takes that wants one rack and has several."""
+TAIL_S = 60.0
+"""Seconds for which the simulation goes on after the end of the arrivals."""
 
-LATE_FACTOR = 3.0
-"""Times its objective until which a late job is worth something."""
+CROSS_RACK_SLOWDOWN = 3.0
+"""Factor on the run time of a gang that requests one rack and runs on several."""
+
+MAX_LATENESS_FACTOR = 3.0
+"""A late job has some worth up to this many times its objective."""
 
 WINDOW_S = 2.0
-WORST_WINDOWS = 2
-"""Arrivals are put into windows of so many seconds; the worst few are counted."""
+WORST_WINDOW_COUNT = 2
+"""Arrivals are grouped by windows of ``WINDOW_S``; the worst few are averaged."""
 
-START_AT = 100.0
-"""The core's clock when the first job arrives; it must be above zero."""
+START_AT_S = 100.0
+"""The core's clock at the start of the day; the core needs a time above zero."""
 
 
 @dataclasses.dataclass(slots=True)
-class Account:
-    """What became of a job; all times in seconds.
+class JobOutcome:
+    """The outcome of a job; all times in seconds.
 
-    ``first_at`` is when the last of its units began for the first time, ``last_at``
-    when a unit last began, ``far_s`` what that run took longer than near its data.
+    ``first_started_at`` is when the last of its units started for the first time,
+    ``last_started_at`` when a unit last started, and ``cross_rack_s`` the time that
+    this run takes longer because it spans several racks.
     """
 
     job: DayJob
-    first_at: float | None = None
-    last_at: float = 0.0
+    first_started_at: float | None = None
+    last_started_at: float = 0.0
     ended_at: float | None = None
-    far_s: float = 0.0
+    cross_rack_s: float = 0.0
 
     @property
     def took_s(self) -> float:
@@ -77,136 +80,140 @@
 
     @property
     def earned(self) -> float:
-        """Return what the job was worth to its caller."""
+        """Return the job's worth to its caller, given when it ended."""
         if self.took_s <= self.job.objective_s:
-            return self.owed
-        if self.took_s <= LATE_FACTOR * self.job.objective_s:
+            return self.full_worth
+        if self.took_s <= MAX_LATENESS_FACTOR * self.job.objective_s:
             return self.job.kind.late_worth * self.job.weight
         return 0.0
 
     @property
-    def owed(self) -> float:
-        """Return what the job is worth in time."""
+    def full_worth(self) -> float:
+        """Return the worth of the job if it ends in time."""
         return self.job.kind.worth * self.job.weight
 
-    def find_cause(self) -> str:
-        """Return what delayed the job most."""
-        if self.first_at is None:
-            return "never begun"
+    def find_main_delay(self) -> str:
+        """Return the main cause of the job's delay."""
+        if self.first_started_at is None:
+            return "never started"
         delays = {
-            "waited for room": self.first_at - self.job.accepted.accepted_at_s,
-            "evicted or lost": self.last_at - self.first_at,
-            "spread over racks": self.far_s,
+            "waited for capacity": self.first_started_at
+            - self.job.accepted.accepted_at_s,
+            "preempted or lost": self.last_started_at - self.first_started_at,
+            "spread over racks": self.cross_rack_s,
         }
         return max(delays, key=lambda name: delays[name])
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DayOutcome:
-    """A day's account: worth earned of worth owed, by kind and by cause.
+    """The outcome of a day: worth earned, and worth missed by cause.
 
-    ``lost_core_s`` is work thrown away, in core-seconds; an accelerator counts as
-    eight cores; ``worst`` the share earned by what came in the worst windows.
+    ``by_kind`` is the share of the full worth that each kind earned. ``lost_core_s``
+    is discarded work in core-seconds; an accelerator counts as eight cores.
+    ``worst_window_share`` is the share earned by the arrivals of the worst windows.
     """
 
     earned: float
-    owed: float
+    full_worth: float
     by_kind: dict[str, float]
     missed_by: dict[str, float]
     lost_core_s: float
     preemptions: int
-    worst: float
+    worst_window_share: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Run:
-    """A run of a unit; ``saved_s`` is the work that earlier runs had saved."""
+    """A run of a unit; ``progress_s`` is the work that earlier runs saved."""
 
-    began_at: float
-    takes_s: float
-    pace: float
-    saved_s: float
+    started_at: float
+    duration_s: float
+    slowdown: float
+    progress_s: float
 
 
 class DayDriver:
-    """Plays one day under one planner."""
+    """Simulates one day under one planner."""
 
     def __init__(self, day: Day, planner: type[Planner]) -> None:
-        """Prepare; all workers are known and empty."""
-        self.now = START_AT + FILLED_AT_S
-        self.core = Core(lease_s=HOLD_S, note=self._note)
+        """Register all workers, idle, and schedule arrivals and losses."""
+        self.now = START_AT_S + INITIAL_JOBS_AT_S
+        self.core = Core(lease_s=LEASE_S, note=self._count_preemption)
         self.core.configuration = day.configuration
         self.planner = planner(
-            self.core, reclaim_s=RECLAIM_S, restart_s=STOP_S + RESTORE_S
+            self.core, reclaim_s=RECLAIM_S, restart_s=STOP_DELAY_S + RESTORE_S
         )
-        self._paces = day.paces
-        self.job_outcomes = {j.accepted.job_id: Account(j) for j in day.jobs}
+        self._slowdowns = day.slowdowns
+        self.job_outcomes = {j.accepted.job_id: JobOutcome(j) for j in day.jobs}
         self.lost_core_s = 0.0
         self.preemptions = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = itertools.count()
-        self._numbers: defaultdict[str, itertools.count[int]] = defaultdict(
+        self._end_numbers: defaultdict[str, itertools.count[int]] = defaultdict(
             lambda: itertools.count(1)
         )
         self._running: defaultdict[str, dict[tuple[TaskId, int], Placement]]
         self._running = defaultdict(dict)
-        self._begun: set[int] = set()
-        self._saved: dict[int, float] = {}
-        self._progress: dict[tuple[int, int], _Run] = {}
+        self._started: set[int] = set()
+        self._progress_s: dict[int, float] = {}
+        self._runs: dict[tuple[int, int], _Run] = {}
         self._pass_due = False
         for entry in day.workers:
             self.core.register_worker(entry, now=self.now)
             self._report(entry.worker_id)
         for job in day.jobs:
-            self._at(START_AT + job.accepted.accepted_at_s, self._make_arrival(job))
+            self._schedule(
+                START_AT_S + job.accepted.accepted_at_s, self._make_arrival(job)
+            )
         for at, worker_id in day.lost:
-            self._at(START_AT + at, self._make_loss(worker_id))
-        self._at(self.now, self._tick)
+            self._schedule(START_AT_S + at, self._make_loss(worker_id))
+        self._schedule(self.now, self._poll_workers)
 
     def run(self) -> DayOutcome:
-        """Play the day to its end."""
-        end = START_AT + DAY_S + AFTER_S
+        """Simulate the day to its end."""
+        end = START_AT_S + DAY_S + TAIL_S
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
             action()
             if all(a.ended_at is not None for a in self.job_outcomes.values()):
                 break
-        return self._sum_up()
+        return self._summarize()
 
-    def _at(self, when: float, action: Callable[[], None]) -> None:
+    def _schedule(self, when: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (when, next(self._sequence), action))
 
-    def _note(self, what: str, **inputs: object) -> None:
+    def _count_preemption(self, what: str, **inputs: object) -> None:
         self.preemptions += what == "room made"
 
     def _make_arrival(self, job: DayJob) -> Callable[[], None]:
         def arrive() -> None:
             accepted = job.accepted
-            at = START_AT + accepted.accepted_at_s
+            at = START_AT_S + accepted.accepted_at_s
             self.core.add_job(dataclasses.replace(accepted, accepted_at_s=at), None)
-            self._want_pass()
+            self._schedule_pass()
 
         return arrive
 
     def _make_loss(self, worker_id: str) -> Callable[[], None]:
         def lose() -> None:
             for placement in self._running.pop(worker_id, {}).values():
-                self._count_loss(placement)
+                self._record_lost_work(placement)
             self.core.lose_worker(worker_id, "gone")
-            self._want_pass()
+            self._schedule_pass()
 
         return lose
 
-    def _tick(self) -> None:
+    def _poll_workers(self) -> None:
         for worker_id in list(self.core.workers):
             self._report(worker_id)
-        self._want_pass()
-        self._at(self.now + REPORT_S, self._tick)
+        self._schedule_pass()
+        self._schedule(self.now + REPORT_INTERVAL_S, self._poll_workers)
 
-    def _want_pass(self) -> None:
+    def _schedule_pass(self) -> None:
         if not self._pass_due:
             self._pass_due = True
-            self._at(self.now + PASS_S, self._plan)
+            self._schedule(self.now + PASS_DELAY_S, self._plan)
 
     def _plan(self) -> None:
         self._pass_due = False
@@ -214,9 +221,9 @@
         for job_id, job in list(self.core.dirty.items()):
             self.core.mark_durable(job_id, job.version)
         for placement in self.core.take_starts():
-            self._at(self.now + START_S, self._make_start(placement))
+            self._schedule(self.now + START_DELAY_S, self._make_start(placement))
         for placement in self.core.take_stops(self.now):
-            self._at(self.now + STOP_S, self._make_stop(placement))
+            self._schedule(self.now + STOP_DELAY_S, self._make_stop(placement))
 
     def _make_start(self, placement: Placement) -> Callable[[], None]:
         def start() -> None:
@@ -227,126 +234,134 @@
             self.core.handle_start_answer(placement, self.now, self.now)
             unit = placement.unit
             if unit is not None and unit.all_active:
-                self._begin(unit)
+                self._start_unit(unit)
 
         return start
 
-    def _begin(self, unit: Unit) -> None:
-        account = self.job_outcomes[unit.job.accepted.job_id]
-        at = self.now - START_AT
-        if id(unit) not in self._begun:
-            self._begun.add(id(unit))
-            account.first_at = at
-        account.last_at = at
+    def _start_unit(self, unit: Unit) -> None:
+        outcome = self.job_outcomes[unit.job.accepted.job_id]
+        at = self.now - START_AT_S
+        if id(unit) not in self._started:
+            self._started.add(id(unit))
+            outcome.first_started_at = at
+        outcome.last_started_at = at
         racks = {self.core.workers[p.worker_id].rack for p in unit.placements.values()}
-        saved_s = self._saved.get(id(unit), 0.0)
-        left_s = account.job.runs_s - saved_s
-        far = unit.step.one_rack and len(unit.indices) > 1 and len(racks) > 1
-        slow = max(self._paces.get(p.worker_id, 1) for p in unit.placements.values())
-        pace = FAR_FACTOR * slow if far else slow
-        account.far_s = left_s * slow * (FAR_FACTOR - 1) if far else 0.0
-        run = _Run(self.now, left_s * pace, pace, saved_s)
-        self._progress[id(unit), unit.run] = run
-        self._at(self.now + run.takes_s, self._make_finish(unit, unit.run))
+        progress_s = self._progress_s.get(id(unit), 0.0)
+        remaining_s = outcome.job.run_duration_s - progress_s
+        crosses_racks = unit.step.one_rack and len(unit.indices) > 1 and len(racks) > 1
+        worker_slowdown = max(
+            self._slowdowns.get(p.worker_id, 1) for p in unit.placements.values()
+        )
+        slowdown = (
+            CROSS_RACK_SLOWDOWN * worker_slowdown if crosses_racks else worker_slowdown
+        )
+        outcome.cross_rack_s = (
+            remaining_s * worker_slowdown * (CROSS_RACK_SLOWDOWN - 1)
+            if crosses_racks
+            else 0.0
+        )
+        run = _Run(self.now, remaining_s * slowdown, slowdown, progress_s)
+        self._runs[id(unit), unit.run] = run
+        self._schedule(self.now + run.duration_s, self._make_finish(unit, unit.run))
 
     def _make_finish(self, unit: Unit, run: int) -> Callable[[], None]:
         def finish() -> None:
             if unit.run != run or not unit.all_active:
                 return
             for placement in list(unit.placements.values()):
-                self._end(placement, "done")
-            self._want_pass()
+                self._end_task(placement, "done")
+            self._schedule_pass()
 
         return finish
 
     def _make_stop(self, placement: Placement) -> Callable[[], None]:
         def stop() -> None:
             if placement.key in self._running[placement.worker_id]:
-                self._count_loss(placement)
-                self._end(placement, "stopped")
+                self._record_lost_work(placement)
+                self._end_task(placement, "stopped")
             else:
                 self.core.handle_stop_answer(placement, self.now, self.now)
                 self._report(placement.worker_id)
-            self._want_pass()
+            self._schedule_pass()
 
         return stop
 
-    def _count_loss(self, placement: Placement) -> None:
+    def _record_lost_work(self, placement: Placement) -> None:
         unit = placement.unit
         if unit is None:
             return
-        run = self._progress.get((id(unit), placement.run))
+        run = self._runs.get((id(unit), placement.run))
         if run is None:
             return
-        worked = self.now - run.began_at
+        elapsed_s = self.now - run.started_at
         if unit.step.checkpoints:
-            self._saved[id(unit)] = run.saved_s + worked / run.pace
+            self._progress_s[id(unit)] = run.progress_s + elapsed_s / run.slowdown
             return
         need = placement.need
         cores = need.cpu_milli / 1000 + need.accelerators * ACCELERATOR_CORES
-        self.lost_core_s += cores * worked
+        self.lost_core_s += cores * elapsed_s
 
-    def _end(self, placement: Placement, how: Ending) -> None:
+    def _end_task(self, placement: Placement, how: Ending) -> None:
         worker_id = placement.worker_id
         self._running[worker_id].pop(placement.key, None)
-        number = next(self._numbers[worker_id])
+        number = next(self._end_numbers[worker_id])
         end = EndedTask(number, placement.task, placement.run, how, "")
         self._report(worker_id, (end,))
-        account = self.job_outcomes[placement.task.job_id]
+        outcome = self.job_outcomes[placement.task.job_id]
         job = self.core.jobs[placement.task.job_id]
-        if job.state is JobState.COMPLETED and account.ended_at is None:
-            account.ended_at = self.now - START_AT
+        if job.state is JobState.COMPLETED and outcome.ended_at is None:
+            outcome.ended_at = self.now - START_AT_S
 
     def _report(self, worker_id: str, ended: tuple[EndedTask, ...] = ()) -> None:
         worker = self.core.workers.get(worker_id)
         if worker is None:
             return
-        grant = leases.record_grant_sent(worker, now=self.now, lease_s=HOLD_S)
+        grant = leases.record_grant_sent(worker, now=self.now, lease_s=LEASE_S)
         leases.record_grant_answered(
-            worker, grant, sent_at=self.now, now=self.now, lease_s=HOLD_S
+            worker, grant, sent_at=self.now, now=self.now, lease_s=LEASE_S
         )
         rows = tuple(
-            RunningTask(p.task, p.run, "", self._find_percent(p))
+            RunningTask(p.task, p.run, "", self._compute_percent(p))
             for p in self._running[worker_id].values()
         )
         report = WorkerReport(self.now, rows, ended)
         self.core.handle_report(worker, report, sent_at=self.now, now=self.now)
 
-    def _find_percent(self, placement: Placement) -> int:
-        run = self._progress.get((id(placement.unit), placement.run))
+    def _compute_percent(self, placement: Placement) -> int:
+        run = self._runs.get((id(placement.unit), placement.run))
         if run is None:
             return 0
-        return min(99, int(100 * (self.now - run.began_at) / run.takes_s))
+        return min(99, int(100 * (self.now - run.started_at) / run.duration_s))
 
-    def _sum_up(self) -> DayOutcome:
-        owed: defaultdict[str, float] = defaultdict(float)
+    def _summarize(self) -> DayOutcome:
+        full_worth: defaultdict[str, float] = defaultdict(float)
         earned: defaultdict[str, float] = defaultdict(float)
         missed: defaultdict[str, float] = defaultdict(float)
-        for account in self.job_outcomes.values():
-            kind = account.job.kind
-            owed[kind.name] += account.owed
-            earned[kind.name] += account.earned
-            if account.earned < account.owed:
-                missed[account.find_cause()] += account.owed - account.earned
+        for outcome in self.job_outcomes.values():
+            kind = outcome.job.kind
+            full_worth[kind.name] += outcome.full_worth
+            earned[kind.name] += outcome.earned
+            if outcome.earned < outcome.full_worth:
+                missed[outcome.find_main_delay()] += outcome.full_worth - outcome.earned
         return DayOutcome(
             sum(earned.values()),
-            sum(owed.values()),
-            {name: earned[name] / owed[name] for name in owed},
+            sum(full_worth.values()),
+            {name: earned[name] / full_worth[name] for name in full_worth},
             dict(missed),
             self.lost_core_s,
             self.preemptions,
-            self._find_worst(),
+            self._compute_worst_window_share(),
         )
 
-    def _find_worst(self) -> float:
-        """Return the share of its worth that the worst windows' work earned."""
-        windows: defaultdict[int, list[Account]] = defaultdict(list)
-        for account in self.job_outcomes.values():
-            at = account.job.accepted.accepted_at_s
+    def _compute_worst_window_share(self) -> float:
+        """Return the mean share of worth that the worst windows earned."""
+        windows: defaultdict[int, list[JobOutcome]] = defaultdict(list)
+        for outcome in self.job_outcomes.values():
+            at = outcome.job.accepted.accepted_at_s
             if at >= 0:
-                windows[int(at / WINDOW_S)].append(account)
+                windows[int(at / WINDOW_S)].append(outcome)
         shares = sorted(
-            sum(a.earned for a in rows) / sum(a.owed for a in rows)
+            sum(a.earned for a in rows) / sum(a.full_worth for a in rows)
             for rows in windows.values()
         )
-        return statistics.mean(shares[:WORST_WINDOWS]) if shares else 1.0
+        return statistics.mean(shares[:WORST_WINDOW_COUNT]) if shares else 1.0
--- a/src/firladder/_internal/evaluation/day_loads.py
+++ b/src/firladder/_internal/evaluation/day_loads.py
@@ -1,8 +1,8 @@
-"""Seeded days of steps of tasks, for the scheduling core without a network.
+"""Seeded days of jobs for the scheduling core, without a network.
 
-The figures follow the users' sheets of the larger deployments: three kinds of work,
-workers in racks, organisations with a guarantee, and a pool that lower work has filled
-before urgent work comes.
+The figures follow the users' data on the larger deployments: three kinds of work,
+workers in racks, organisations with a guarantee, and a pool that is full of
+lower-priority work before urgent work arrives.
 """
 
 import dataclasses
@@ -25,308 +25,329 @@
 
 POOL = "pool"
 GUARANTEED_SHARE = 0.62
-"""Share of all accelerators that is guaranteed to some organisation."""
+"""Share of all accelerators that is guaranteed to organisations."""
 
 BASE_WEIGHT = 0.3
-MOST_WEIGHT = 4.0
-"""A job's worth is its kind's, times a base and the rest by its work, up to a bound."""
+MAX_WEIGHT = 4.0
+"""A weight is a base plus a part that grows with the job's work, up to a bound."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of work. Times in seconds; ``late_worth`` is what a late job is worth.
+    """A kind of work, with times in seconds.
 
-    ``width`` is the mean number of tasks, ``one_rack`` and ``saves`` the shares of
-    jobs that want one rack and that save their progress, ``filled`` the jobs that are
-    there when the day begins.
+    ``one_rack`` is the share of jobs that request one rack, ``checkpoint_share`` the
+    share that save their progress, ``late_worth`` the worth of a late job, and
+    ``initial_jobs`` the number of jobs that are there when the day begins.
     """
 
     name: str
     priority: int
-    per_s: float
-    width: float
-    most: int
-    runs_s: float
+    arrivals_per_s: float
+    mean_tasks: float
+    max_tasks: int
+    run_duration_s: float
     cores: float
     memory_mb: int
     accelerators: tuple[int, ...]
     gang: bool
     one_rack: float
-    saves: float
+    checkpoint_share: float
     stretch: float
     slo_s: float
     worth: float
     late_worth: float
-    filled: int
+    initial_jobs: int
 
 
 URGENT = Kind(
     name="urgent",
     priority=0,
-    per_s=5.5,
-    width=4.7,
-    most=28,
-    runs_s=2.5,
+    arrivals_per_s=5.5,
+    mean_tasks=4.7,
+    max_tasks=28,
+    run_duration_s=2.5,
     cores=7.5,
     memory_mb=22_000,
     accelerators=(1, 2, 4, 8, 8),
     gang=True,
     one_rack=0.8,
-    saves=0.0,
+    checkpoint_share=0.0,
     stretch=1.5,
     slo_s=0.25,
     worth=4.0,
     late_worth=0.8,
-    filled=0,
+    initial_jobs=0,
 )
 HEAVY = Kind(
     name="heavy",
     priority=1,
-    per_s=1.2,
-    width=10.0,
-    most=60,
-    runs_s=11.0,
+    arrivals_per_s=1.2,
+    mean_tasks=10.0,
+    max_tasks=60,
+    run_duration_s=11.0,
     cores=26.0,
     memory_mb=75_000,
     accelerators=(1, 2, 4, 8, 8),
     gang=True,
     one_rack=0.6,
-    saves=0.45,
+    checkpoint_share=0.45,
     stretch=3.0,
     slo_s=1.0,
     worth=3.0,
     late_worth=0.9,
-    filled=23,
+    initial_jobs=23,
 )
 SMALL = Kind(
     name="small",
     priority=2,
-    per_s=1.46,
-    width=30.0,
-    most=180,
-    runs_s=7.6,
+    arrivals_per_s=1.46,
+    mean_tasks=30.0,
+    max_tasks=180,
+    run_duration_s=7.6,
     cores=5.6,
     memory_mb=16_000,
     accelerators=(1,),
     gang=False,
     one_rack=0.0,
-    saves=0.45,
+    checkpoint_share=0.45,
     stretch=3.0,
     slo_s=3.0,
     worth=1.0,
     late_worth=0.3,
-    filled=27,
+    initial_jobs=27,
 )
 
 
 NARROW_URGENT = dataclasses.replace(
-    URGENT, width=5.3, most=32, cores=3.7, memory_mb=9_800
+    URGENT, mean_tasks=5.3, max_tasks=32, cores=3.7, memory_mb=9_800
 )
 NARROW_HEAVY = dataclasses.replace(
     HEAVY,
-    per_s=1.38,
-    width=13.0,
-    most=76,
+    arrivals_per_s=1.38,
+    mean_tasks=13.0,
+    max_tasks=76,
     cores=13.0,
     memory_mb=34_000,
     late_worth=0.3,
-    filled=27,
+    initial_jobs=27,
 )
 NARROW_SMALL = dataclasses.replace(
     SMALL,
-    per_s=1.69,
-    width=38.0,
-    most=230,
+    arrivals_per_s=1.69,
+    mean_tasks=38.0,
+    max_tasks=230,
     cores=2.8,
     memory_mb=7_400,
     late_worth=0.1,
-    filled=31,
+    initial_jobs=31,
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Plant:
-    """The workers of a deployment, and the kinds of work that they are there for.
+class Deployment:
+    """The workers of a deployment, and the kinds of work that it runs.
 
-    ``paces`` are drawn from for each worker: how many times as long a task takes.
-    ``by_work`` tells that a job is worth the more, the larger it is.
+    Each worker draws its factor on the run time of tasks from ``slowdowns``. With
+    ``weight_by_work`` a job's worth grows with its work.
     """
 
     kinds: tuple[Kind, ...]
     workers: int
-    rack_workers: int
+    workers_per_rack: int
     capacity: Resources
     organisations: int
-    paces: tuple[float, ...] = (1.0,)
-    by_work: bool = False
+    slowdowns: tuple[float, ...] = (1.0,)
+    weight_by_work: bool = False
 
 
-WIDE_RACKS = Plant(
+WIDE_RACKS = Deployment(
     kinds=(URGENT, HEAVY, SMALL),
     workers=176,
-    rack_workers=12,
+    workers_per_rack=12,
     capacity=Resources(64_000, 262_144, 8),
     organisations=10,
 )
-NARROW_RACKS = Plant(
+NARROW_RACKS = Deployment(
     kinds=(NARROW_URGENT, NARROW_HEAVY, NARROW_SMALL),
     workers=270,
-    rack_workers=8,
+    workers_per_rack=8,
     capacity=Resources(32_000, 65_536, 8),
     organisations=24,
-    paces=(1.0, 1.0, 1.3),
-    by_work=True,
+    slowdowns=(1.0, 1.0, 1.3),
+    weight_by_work=True,
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DayJob:
-    """A job of a day, the seconds that it runs, and the kind that it is of.
+    """A job of a day, its kind, and its run time on a worker of normal speed.
 
-    ``weight`` is what it is worth as a multiple of its kind's worth.
+    ``weight`` is the job's worth as a multiple of its kind's.
     """
 
     accepted: AcceptedJob
     kind: Kind
-    runs_s: float
+    run_duration_s: float
     weight: float = 1.0
 
     @property
     def objective_s(self) -> float:
-        """Return within what time the job should be done, in seconds."""
-        return self.kind.stretch * self.runs_s + self.kind.slo_s
+        """Return the time from arrival within which the job should end, in seconds."""
+        return self.kind.stretch * self.run_duration_s + self.kind.slo_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Day:
-    """Workers, jobs in the order of their arrival, and workers that go at a time.
+    """Workers, jobs in the order of their arrival, and losses of workers by time.
 
-    ``paces`` tells how many times as long a task takes on workers that are slow.
+    ``slowdowns`` maps a worker to its factor on the run time of tasks.
     """
 
     workers: tuple[WorkerEntry, ...]
     configuration: QueueConfiguration
     jobs: tuple[DayJob, ...]
     lost: tuple[tuple[float, str], ...] = ()
-    paces: Mapping[str, float] = dataclasses.field(default_factory=dict)
+    slowdowns: Mapping[str, float] = dataclasses.field(default_factory=dict)
 
 
 DAYS: Registry[Callable[[int], Day]] = Registry("day")
-"""Each makes a day from a seed."""
+"""Functions by name that make a day from a seed."""
 
 
 @DAYS.register("steady")
 def make_steady(seed: int) -> Day:
-    """Return a day on which the pool holds all that comes."""
-    return _make_day(seed, WIDE_RACKS, burst=1.0, filled=0.5)
+    """Return a day on which the pool has capacity for all arrivals."""
+    return _make_day(seed, WIDE_RACKS, burst_factor=1.0, initial_share=0.5)
 
 
 @DAYS.register("urgent_burst")
 def make_urgent_burst(seed: int) -> Day:
-    """Return a day that begins full, with a burst of urgent work at once."""
-    return _make_day(seed, WIDE_RACKS, factor=1.2, burst=2.2)
+    """Return a day that begins with a full pool and a burst of urgent work."""
+    return _make_day(seed, WIDE_RACKS, rate_factor=1.2, burst_factor=2.2)
 
 
 @DAYS.register("small_pool")
 def make_small_pool(seed: int) -> Day:
-    """Return a day of a pool of four racks, with a burst of urgent work."""
-    plant = dataclasses.replace(WIDE_RACKS, workers=48)
-    return _make_day(seed, plant, factor=0.28, burst=2.0, filled=0.28)
+    """Return a day on a pool of four racks, with a burst of urgent work."""
+    deployment = dataclasses.replace(WIDE_RACKS, workers=48)
+    return _make_day(
+        seed, deployment, rate_factor=0.28, burst_factor=2.0, initial_share=0.28
+    )
 
 
 @DAYS.register("workers_lost")
 def make_workers_lost(seed: int) -> Day:
-    """Return a full day on which one worker in ten goes without notice."""
-    day = _make_day(seed, WIDE_RACKS, burst=1.5)
+    """Return a day on a full pool on which one worker in ten is lost."""
+    day = _make_day(seed, WIDE_RACKS, burst_factor=1.5)
     rng = random.Random(seed)
-    gone = rng.sample([w.worker_id for w in day.workers], len(day.workers) // 10)
-    return dataclasses.replace(day, lost=tuple((8.0, worker) for worker in gone))
+    lost_ids = rng.sample([w.worker_id for w in day.workers], len(day.workers) // 10)
+    return dataclasses.replace(day, lost=tuple((8.0, worker) for worker in lost_ids))
 
 
 @DAYS.register("overload")
 def make_overload(seed: int) -> Day:
-    """Return a day of a large pool with more lower work than it holds, all day long."""
-    return _make_day(seed, NARROW_RACKS, burst=2.2)
+    """Return a day on a large pool with more lower-priority work than it can run."""
+    return _make_day(seed, NARROW_RACKS, burst_factor=2.2)
 
 
 @DAYS.register("small_overload")
 def make_small_overload(seed: int) -> Day:
-    """Return the same for a pool of ten racks."""
-    plant = dataclasses.replace(NARROW_RACKS, workers=80)
-    return _make_day(seed, plant, factor=0.3, burst=2.2, filled=0.3)
+    """Return a day of the same overload on a pool of ten racks."""
+    deployment = dataclasses.replace(NARROW_RACKS, workers=80)
+    return _make_day(
+        seed, deployment, rate_factor=0.3, burst_factor=2.2, initial_share=0.3
+    )
 
 
 DAY_S = 30.0
 BURST_S = 6.0
-FILLED_AT_S = -8.0
+INITIAL_JOBS_AT_S = -8.0
 
 
 def _make_day(
-    seed: int, plant: Plant, *, factor: float = 1.0, burst: float, filled: float = 1.0
+    seed: int,
+    deployment: Deployment,
+    *,
+    rate_factor: float = 1.0,
+    burst_factor: float,
+    initial_share: float = 1.0,
 ) -> Day:
     rng = random.Random(seed)
     numbers = itertools.count(1)
-    entries = tuple(_make_worker(plant, number) for number in range(plant.workers))
-    urgent, *lower = plant.kinds
+    entries = tuple(
+        _make_worker(deployment, number) for number in range(deployment.workers)
+    )
+    urgent, *lower = deployment.kinds
     jobs = [
-        _draw_job(rng, plant, kind, FILLED_AT_S + rng.random(), next(numbers))
+        _draw_job(
+            rng, deployment, kind, INITIAL_JOBS_AT_S + rng.random(), next(numbers)
+        )
         for kind in lower
-        for _ in range(round(kind.filled * filled))
+        for _ in range(round(kind.initial_jobs * initial_share))
     ]
     jobs += [
-        _draw_job(rng, plant, kind, at, next(numbers))
-        for kind in plant.kinds
-        for at in _draw_times(rng, kind.per_s * factor, burst if kind is urgent else 1)
+        _draw_job(rng, deployment, kind, at, next(numbers))
+        for kind in deployment.kinds
+        for at in _draw_times(
+            rng,
+            kind.arrivals_per_s * rate_factor,
+            burst_factor if kind is urgent else 1,
+        )
     ]
     total = sum(entry.capacity.accelerators for entry in entries)
-    share = int(total * GUARANTEED_SHARE / plant.organisations)
-    owners = tuple(
+    share = int(total * GUARANTEED_SHARE / deployment.organisations)
+    organisations_ = tuple(
         Organisation(f"organisation-{n}", frozenset(), share)
-        for n in range(plant.organisations)
+        for n in range(deployment.organisations)
     )
     queues = tuple(
         Queue(kind.name, "", f"/{kind.name}/", POOL, priority=kind.priority)
-        for kind in plant.kinds
+        for kind in deployment.kinds
     )
     return Day(
         entries,
-        QueueConfiguration(1, queues, organisations=owners),
+        QueueConfiguration(1, queues, organisations=organisations_),
         tuple(sorted(jobs, key=lambda job: job.accepted.accepted_at_s)),
-        paces={entry.worker_id: rng.choice(plant.paces) for entry in entries},
+        slowdowns={
+            entry.worker_id: rng.choice(deployment.slowdowns) for entry in entries
+        },
     )
 
 
-def _draw_times(rng: random.Random, per_s: float, burst: float) -> Iterator[float]:
+def _draw_times(
+    rng: random.Random, arrivals_per_s: float, burst_factor: float
+) -> Iterator[float]:
     at = 0.0
     while True:
-        at += rng.expovariate(per_s * (burst if at < BURST_S else 1.0))
+        at += rng.expovariate(arrivals_per_s * (burst_factor if at < BURST_S else 1.0))
         if at >= DAY_S:
             return
         yield at
 
 
-def _make_worker(plant: Plant, number: int) -> WorkerEntry:
-    rack = f"r1-{number // plant.rack_workers:02d}"
+def _make_worker(deployment: Deployment, number: int) -> WorkerEntry:
+    rack = f"r1-{number // deployment.workers_per_rack:02d}"
     name = f"w{number:03d}"
-    return WorkerEntry(name, "", POOL, "", plant.capacity, frozenset(), rack)
+    return WorkerEntry(name, "", POOL, "", deployment.capacity, frozenset(), rack)
 
 
 def _draw_job(
-    rng: random.Random, plant: Plant, kind: Kind, at: float, number: int
+    rng: random.Random, deployment: Deployment, kind: Kind, at: float, number: int
 ) -> DayJob:
     accelerators = rng.choice(kind.accelerators)
     step = Step(
-        count=min(kind.most, max(1, round(rng.expovariate(1 / kind.width)))),
+        count=min(kind.max_tasks, max(1, round(rng.expovariate(1 / kind.mean_tasks)))),
         need=Resources(round(kind.cores * 1000), kind.memory_mb, accelerators),
-        estimate_s=kind.runs_s * rng.uniform(0.5, 2.0),
-        checkpoints=rng.random() < kind.saves,
+        estimate_s=kind.run_duration_s * rng.uniform(0.5, 2.0),
+        checkpoints=rng.random() < kind.checkpoint_share,
         gang=kind.gang,
         one_rack=rng.random() < kind.one_rack,
     )
     accepted = AcceptedJob(
         f"{number:016x}",
         kind.name,
-        f"organisation-{rng.randrange(plant.organisations)}",
+        f"organisation-{rng.randrange(deployment.organisations)}",
         POOL,
         kind.priority,
         3,
@@ -335,13 +356,19 @@
         at,
         Workload("", (step,)),
     )
-    runs_s = kind.runs_s * rng.uniform(0.7, 1.3)
-    weight = _weigh(kind, step, runs_s) if plant.by_work else 1.0
-    return DayJob(accepted, kind, runs_s, weight)
+    run_duration_s = kind.run_duration_s * rng.uniform(0.7, 1.3)
+    weight = (
+        _compute_weight(kind, step, run_duration_s)
+        if deployment.weight_by_work
+        else 1.0
+    )
+    return DayJob(accepted, kind, run_duration_s, weight)
 
 
-def _weigh(kind: Kind, step: Step, runs_s: float) -> float:
-    """Return a job's worth, as a multiple of its kind's: by its work, within bounds."""
-    work = step.count * step.need.accelerators * runs_s
-    usual = kind.width * statistics.mean(kind.accelerators) * kind.runs_s
-    return min(MOST_WEIGHT, BASE_WEIGHT + (1 - BASE_WEIGHT) * work / usual)
+def _compute_weight(kind: Kind, step: Step, run_duration_s: float) -> float:
+    """Return a job's weight, from its work relative to the mean of its kind."""
+    work = step.count * step.need.accelerators * run_duration_s
+    mean_work = (
+        kind.mean_tasks * statistics.mean(kind.accelerators) * kind.run_duration_s
+    )
+    return min(MAX_WEIGHT, BASE_WEIGHT + (1 - BASE_WEIGHT) * work / mean_work)
--- a/src/firladder/_internal/evaluation/day_policies.py
+++ b/src/firladder/_internal/evaluation/day_policies.py
@@ -1,4 +1,4 @@
-"""Ways to plan a day: the planner as it is, its parts left out, and baselines."""
+"""Planners for simulated days: the engine's, variants of it, and baselines."""
 
 from collections.abc import Sequence
 
@@ -9,14 +9,14 @@
 from ..policies.registry import Registry
 
 PLANNERS: Registry[type[Planner]] = Registry("planner")
-"""Kinds of planners; "engine" is the one that leaders run."""
+"""Planners by name; leaders run "engine"."""
 
 PLANNERS.register("engine")(Planner)
 
 
 @PLANNERS.register("impatient")
-class ImpatientPlanner(Planner):
-    """Reclaims at once, whatever is lost."""
+class EagerReclaimPlanner(Planner):
+    """Reclaims at once, without regard to the work that is lost."""
 
     def _must_reclaim(self, unit: Unit, now: float) -> bool:
         return self._is_guaranteed(unit)
@@ -24,7 +24,7 @@
 
 @PLANNERS.register("easy_backfill")
 class BackfillPlanner(Planner):
-    """First come first served, with room kept for waiting gangs; evicts nothing."""
+    """First come, first served, with reservations for gangs and no preemption."""
 
     def _preempt_for(self, unit: Unit, pool: list[Candidate], now: float) -> bool:
         return False
@@ -35,20 +35,20 @@
 
 @PLANNERS.register("first_come")
 class FirstComePlanner(BackfillPlanner):
-    """Nothing begins while something that came before it waits."""
+    """First come, first served: nothing starts before an earlier arrival."""
 
-    _closed = False
+    _blocked = False
 
     def run_pass(self, *, now: float, wall: float) -> int:
-        """Plan a pass in which the first unit without room closes the pool."""
-        self._closed = False
+        """Plan a pass that stops at the first unit that cannot be placed."""
+        self._blocked = False
         return super().run_pass(now=now, wall=wall)
 
     def _place(
         self, unit: Unit, pool: Sequence[Candidate], now: float, demand: Demand
     ) -> list[str] | None:
-        if self._closed:
+        if self._blocked:
             return None
         found = super()._place(unit, pool, now, demand)
-        self._closed = found is None
+        self._blocked = found is None
         return found
