--- a/src/firladder/_internal/evaluation/driver.py
+++ b/src/firladder/_internal/evaluation/driver.py
@@ -1,7 +1,7 @@
-"""Run a placement policy over fake workers with a fake clock.
+"""Simulate a placement policy on one failure domain, with a simulated clock.
 
-No sockets and no threads: a heap of events and the policy's own actions. The
-driver checks what the policy does, and fails on an overcommitted worker.
+A discrete-event simulation without sockets or threads. The driver checks the policy's
+actions, and fails if a worker is overcommitted.
 """
 
 import dataclasses
@@ -24,33 +24,37 @@
 )
 from ..policies.quarantine import WorkerHealth, is_at_fault
 from ..policies.selectors import Selector
+from .fleet_metrics import JobStart, Sample
 from .loads import DOMAIN, Arrival, Load
-from .measures import Sample, Span
 
-STOP_S = 5.0
-"""Seconds between an eviction and the accelerators' being free."""
+STOP_DELAY_S = 5.0
+"""Seconds between a preemption and the release of the accelerators."""
 
-RESTART_S = 30.0
-"""Seconds of its time that a checkpointable gang loses at each eviction."""
+RESTART_LOSS_S = 30.0
+"""Seconds of work that a checkpointable gang loses at each preemption."""
 
-FAIL_S = 5.0
-"""Seconds until a faulty worker fails what it was given."""
+FAULT_DELAY_S = 5.0
+"""Seconds until a job fails on a faulty worker."""
 
-LAPSE_S = 30.0
-"""Seconds until the leases on a dead worker have lapsed."""
+LEASE_EXPIRY_S = 30.0
+"""Seconds until the leases on a lost worker have expired."""
 
-RECLAIM_WITHIN_S = STOP_S + 1.0
-"""Longest wait of a job that its free shape covers; longer is a reclaim failure."""
+MAX_RECLAIM_WAIT_S = STOP_DELAY_S + 1.0
+"""Bound on the wait of a guaranteed job; a longer wait is a reclaim failure."""
 
-LONGEST_S = 30 * 24 * 3600.0
+MAX_SIMULATED_S = 30 * 24 * 3600.0
 
 
 @dataclasses.dataclass(slots=True)
 class Trace:
-    """What became of one job."""
+    """The state of one job, and its outcome.
+
+    ``progress_s`` is saved work, ``lost`` is accelerator-seconds lost to preemption,
+    and ``guaranteed`` says that the owner's shape was free for the job on arrival.
+    """
 
     arrival: Arrival
-    saved_s: float = 0.0
+    progress_s: float = 0.0
     wait_s: float = 0.0
     queued_at: float = 0.0
     first_start: float | None = None
@@ -58,20 +62,20 @@
     end: str = ""
     lost: float = 0.0
     attempts: int = 0
-    owed: bool = False
+    guaranteed: bool = False
     avoid: frozenset[str] = frozenset()
 
     @property
     def size(self) -> int:
-        """Return the accelerators of the whole gang."""
+        """Return the number of accelerators of the whole gang."""
         return self.arrival.spec.members * self.arrival.spec.accelerators
 
 
 class Driver:
-    """One run of one policy over one load."""
+    """A simulation of one policy under one load."""
 
     def __init__(self, policy: PlacementPolicy, load: Load) -> None:
-        """Prepare a run."""
+        """Start with idle workers and no jobs."""
         self._policy = policy
         self._load = load
         self.now = 0.0
@@ -81,26 +85,26 @@
         self._queue: dict[str, Trace] = {}
         self._running: dict[str, RunningJob] = {}
         self._workers: dict[str, Machine] = {w.name: w for w in load.workers}
-        self._dead: set[str] = set()
-        self._conduct: dict[str, WorkerHealth] = defaultdict(WorkerHealth)
+        self._lost_workers: set[str] = set()
+        self._health: dict[str, WorkerHealth] = defaultdict(WorkerHealth)
         self._history = RunHistory()
         self._not_before: dict[str, float] = {}
         self._numbers = itertools.count()
         self._events: list[tuple[float, int, str, str, int]] = []
 
     def run(self) -> "Driver":
-        """Run until every job has ended."""
+        """Simulate until every job has ended, and return the driver."""
         for arrival in self._load.arrivals:
-            self._post(arrival.at, "arrive", arrival.spec.id)
+            self._schedule(arrival.at, "arrive", arrival.spec.id)
             if arrival.cancel_at is not None:
-                self._post(arrival.cancel_at, "cancel", arrival.spec.id)
+                self._schedule(arrival.cancel_at, "cancel", arrival.spec.id)
         if self._load.lost_at is not None:
-            self._post(self._load.lost_at, "lose")
-        while self._events and self._events[0][0] < LONGEST_S:
+            self._schedule(self._load.lost_at, "lose")
+        while self._events and self._events[0][0] < MAX_SIMULATED_S:
             self._step()
         return self
 
-    def _post(self, at: float, kind: str, job: str = "", attempt: int = 0) -> None:
+    def _schedule(self, at: float, kind: str, job: str = "", attempt: int = 0) -> None:
         heapq.heappush(self._events, (at, next(self._numbers), kind, job, attempt))
 
     def _step(self) -> None:
@@ -111,14 +115,14 @@
             if kind == "arrive":
                 arrived.append(job)
             self._handle(kind, job, attempt)
-        self._mark_owed(arrived)
+        self._mark_guaranteed(arrived)
         for action in self._decide():
-            self._act(action)
+            self._apply(action)
         self.samples.append(self._sample())
 
     def _decide(self) -> list[Action]:
         self.passes += 1
-        return self._policy(self._view())
+        return self._policy(self._build_view())
 
     def _handle(self, kind: str, job: str, attempt: int) -> None:
         trace = self.traces.get(job)
@@ -143,7 +147,7 @@
             del self._queue[job]
             self._finish(trace, "cancelled")
         elif job in self._running:
-            self._stop(self._running[job], "cancelled", STOP_S)
+            self._stop(self._running[job], "cancelled", STOP_DELAY_S)
 
     def _finish(self, trace: Trace, end: str) -> None:
         trace.ended_at, trace.end = self.now, end
@@ -152,7 +156,7 @@
         job = gang.spec.id
         self._running[job] = dataclasses.replace(gang, stopping=True)
         self.traces[job].attempts += 1
-        self._post(self.now + after_s, kind, job, self.traces[job].attempts)
+        self._schedule(self.now + after_s, kind, job, self.traces[job].attempts)
 
     def _end_attempt(self, trace: Trace, kind: str) -> None:
         spec = trace.arrival.spec
@@ -160,78 +164,82 @@
         ran_s = self.now - gang.started_at
         if kind == "done":
             self._finish(trace, "done")
-            if trace.saved_s == 0.0:
+            if trace.progress_s == 0.0:
                 self._history.record_run(spec, spec.organisation, ran_s)
             for member in gang.members:
-                self._conduct[member.worker].record_success()
+                self._health[member.worker].record_success()
         elif kind == "cancelled":
             self._finish(trace, "cancelled")
         elif kind == "failed":
-            self._fail(trace, gang)
+            self._handle_failure(trace, gang)
         else:
-            self._save(trace, gang, ran_s - STOP_S, evicted=kind == "evicted")
+            self._record_progress(
+                trace, gang, ran_s - STOP_DELAY_S, evicted=kind == "evicted"
+            )
             self._enqueue(spec.id)
 
-    def _save(
+    def _record_progress(
         self, trace: Trace, gang: RunningJob, ran_s: float, *, evicted: bool
     ) -> None:
         ran_s = max(0.0, ran_s)
-        saves = gang.spec.checkpointable and evicted
-        lost_s = min(RESTART_S, ran_s) if saves else ran_s
-        trace.saved_s += ran_s - lost_s
+        keeps_progress = gang.spec.checkpointable and evicted
+        lost_s = min(RESTART_LOSS_S, ran_s) if keeps_progress else ran_s
+        trace.progress_s += ran_s - lost_s
         if evicted:
             trace.lost += lost_s * trace.size
 
-    def _fail(self, trace: Trace, gang: RunningJob) -> None:
-        bad = next(
+    def _handle_failure(self, trace: Trace, gang: RunningJob) -> None:
+        faulty_worker = next(
             m.worker for m in gang.members if m.worker in self._load.faulty_workers
         )
         spec = trace.arrival.spec
-        self._conduct[bad].record_failure(spec.id, self.now)
-        if not self._conduct[bad].quarantined:
-            trace.avoid |= {bad}
-        quarantined = {w for w, c in self._conduct.items() if c.quarantined}
+        self._health[faulty_worker].record_failure(spec.id, self.now)
+        if not self._health[faulty_worker].quarantined:
+            trace.avoid |= {faulty_worker}
+        quarantined = {w for w, c in self._health.items() if c.quarantined}
         if is_at_fault(trace.avoid, quarantined):
             self._finish(trace, "failed")
         else:
             self._enqueue(spec.id)
 
     def _lose_workers(self) -> None:
-        self._dead |= self._load.lost_workers
+        self._lost_workers |= self._load.lost_workers
         for gang in list(self._running.values()):
-            if not gang.stopping and any(m.worker in self._dead for m in gang.members):
-                self._stop(gang, "lost", LAPSE_S)
+            if not gang.stopping and any(
+                m.worker in self._lost_workers for m in gang.members
+            ):
+                self._stop(gang, "lost", LEASE_EXPIRY_S)
 
-    def _mark_owed(self, arrived: list[str]) -> None:
-        """Find jobs whose organisation's shape is wholly free for them.
+    def _mark_guaranteed(self, arrived: list[str]) -> None:
+        """Mark the arrived jobs that the organisation's free shape covers.
 
-        Independent of any policy's own accounts: all the organisation's jobs
-        came at this moment and each can have a cell of its own.
+        This is independent of the policy's accounting: all jobs of the organisation
+        arrived at this moment, and each fits a cell of its own.
         """
-        if self._dead:
+        if self._lost_workers:
             return
         for name, organisation in self._load.organisations.items():
-            mine = [j for j in arrived if self._find_owner(j) == name]
+            own = [j for j in arrived if self._find_owner(j) == name]
             older = [
                 j
                 for j in (*self._queue, *self._running)
-                if j not in mine and self._find_owner(j) == name
+                if j not in own and self._find_owner(j) == name
             ]
             cells = sorted(
                 (c.accelerators for c in organisation.shape for _ in range(c.count)),
                 reverse=True,
             )
-            sizes = sorted((self.traces[j].size for j in mine), reverse=True)
+            sizes = sorted((self.traces[j].size for j in own), reverse=True)
             fits = len(sizes) <= len(cells) and all(
                 size <= cell for size, cell in zip(sizes, cells, strict=False)
             )
-            for job in mine if fits and not older else ():
-                self.traces[job].owed = True
+            for job in own if fits and not older else ():
+                self.traces[job].guaranteed = True
 
     def _find_owner(self, job: str) -> str:
         return self.traces[job].arrival.spec.organisation
 
-    def _view(self) -> DomainView:
+    def _build_view(self) -> DomainView:
         used: dict[str, set[int]] = defaultdict(set)
         cpus: dict[str, int] = defaultdict(int)
         memory: dict[str, int] = defaultdict(int)
@@ -253,8 +261,8 @@
                     w.cpus - cpus[w.name],
                     w.memory_mb - memory[w.name],
                     {"name": w.name},
-                    w.name not in self._dead
-                    and self._conduct[w.name].accepts_work(
+                    w.name not in self._lost_workers
+                    and self._health[w.name].accepts_work(
                         self.now, busy=bool(used[w.name])
                     ),
                 )
@@ -276,14 +284,14 @@
             history=self._history.medians,
         )
 
-    def _act(self, action: Action) -> None:
+    def _apply(self, action: Action) -> None:
         if isinstance(action, Place):
             self._start(action)
         elif isinstance(action, Preempt):
             gang = dataclasses.replace(
                 self._running[action.job], preempted_for=action.beneficiary
             )
-            self._stop(gang, "evicted", STOP_S)
+            self._stop(gang, "evicted", STOP_DELAY_S)
         else:
             self._finish(self._queue.pop(action.job), action.outcome)
 
@@ -304,8 +312,8 @@
         )
         faulty = any(m.worker in self._load.faulty_workers for m in action.members)
         kind = "failed" if faulty else "done"
-        runs_s = FAIL_S if faulty else trace.arrival.run_s - trace.saved_s
-        self._post(self.now + runs_s, kind, spec.id, trace.attempts)
+        duration_s = FAULT_DELAY_S if faulty else trace.arrival.run_s - trace.progress_s
+        self._schedule(self.now + duration_s, kind, spec.id, trace.attempts)
 
     def _sample(self) -> Sample:
         used: dict[str, int] = defaultdict(int)
@@ -314,26 +322,30 @@
             used[member.worker] += len(member.accelerators)
         free: dict[str, list[int]] = defaultdict(list)
         for worker in self._workers.values():
-            if worker.name not in self._dead:
+            if worker.name not in self._lost_workers:
                 free[worker.rack].append(worker.accelerators - used[worker.name])
         waiting = list(self._queue.values())
         return Sample.take(
-            self.now, free, [t.size for t in waiting], self._list_shares()
+            self.now,
+            free,
+            [t.size for t in waiting],
+            self._count_accelerators_by_organisation(),
         )
 
-    def _list_shares(self) -> dict[str, int]:
+    def _count_accelerators_by_organisation(self) -> dict[str, int]:
         shares: dict[str, int] = defaultdict(int)
         for gang in self._running.values():
             shares[gang.organisation] += self.traces[gang.spec.id].size
         return dict(shares)
 
-    def list_reclaim_failures(self) -> list[Span]:
-        """Return the owed jobs that started too late, or never."""
+    def list_reclaim_failures(self) -> list[JobStart]:
+        """Return the guaranteed jobs that started too late, or never."""
         return [
-            Span(t.arrival.spec.id, t.arrival.at, t.first_start)
+            JobStart(t.arrival.spec.id, t.arrival.at, t.first_start)
             for t in self.traces.values()
-            if t.owed
+            if t.guaranteed
             and (
-                t.first_start is None or t.first_start - t.arrival.at > RECLAIM_WITHIN_S
+                t.first_start is None
+                or t.first_start - t.arrival.at > MAX_RECLAIM_WAIT_S
             )
         ]
--- a/src/firladder/_internal/evaluation/measures.py
+++ b/src/firladder/_internal/evaluation/fleet_metrics.py
@@ -1,15 +1,15 @@
-"""Measure a run by its outcomes for callers, and by how the fleet was used."""
+"""Metrics of how a simulated fleet was used."""
 
 import dataclasses
 import itertools
 from collections.abc import Iterable, Mapping, Sequence
 
-WORKER_ACCELERATORS = 8
+ACCELERATORS_PER_WORKER = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Span:
-    """A job, when it came and when it first started."""
+class JobStart:
+    """A job, its arrival and its first start, in seconds."""
 
     job: str
     at: float
@@ -18,17 +18,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """The fleet after one placement pass.
+    """The free capacity of the fleet after one placement pass, in accelerators.
 
-    ``largest`` is the largest gang that could start: whole workers of one rack,
-    or else the most on one worker. ``blocked`` says that a large job waits
-    although enough accelerators are free.
+    ``largest_gang`` is the largest gang that could start: on whole workers of one
+    rack, or on one worker. ``max_gang`` is the largest that the free accelerators
+    would hold without fragmentation. ``blocked`` says that a large job waits although
+    enough accelerators are free.
     """
 
     at: float
     free: int
-    largest: int
-    most: int
+    largest_gang: int
+    max_gang: int
     blocked: bool
     shares: Mapping[str, int]
 
@@ -40,43 +41,45 @@
         waiting: Iterable[int],
         shares: Mapping[str, int],
     ) -> "Sample":
-        """Sum up the free accelerators of each worker, by rack."""
+        """Return the sample for the free accelerators of each worker, by rack."""
         total = sum(map(sum, free.values()))
         whole = max(
             (
-                sum(f for f in rack if f >= WORKER_ACCELERATORS)
+                sum(f for f in rack if f >= ACCELERATORS_PER_WORKER)
                 for rack in free.values()
             ),
             default=0,
         )
         single = max((f for rack in free.values() for f in rack), default=0)
         rack_size = max(
-            (len(r) * WORKER_ACCELERATORS for r in free.values()), default=0
+            (len(r) * ACCELERATORS_PER_WORKER for r in free.values()), default=0
         )
-        blocked = any(WORKER_ACCELERATORS <= size <= total for size in waiting)
+        blocked = any(ACCELERATORS_PER_WORKER <= size <= total for size in waiting)
         return cls(
             at, total, max(whole, single), min(total, rack_size), blocked, shares
         )
 
 
-def find_percentile(values: Iterable[float], part: float) -> float:
-    """Return a percentile by the nearest rank; zero without values."""
+def find_percentile(values: Iterable[float], fraction: float) -> float:
+    """Return a percentile by the nearest rank, or zero without values."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def measure_fragmentation(samples: Sequence[Sample]) -> float:
-    """Return the mean part of the free accelerators that no one gang can use."""
+    """Return the mean share of the free accelerators that no single gang can use."""
     spans = [(b.at - a.at, a) for a, b in itertools.pairwise(samples)]
     total = sum(s * a.free for s, a in spans)
-    wasted = sum(s * a.free * (1 - a.largest / a.most) for s, a in spans if a.most)
+    wasted = sum(
+        s * a.free * (1 - a.largest_gang / a.max_gang) for s, a in spans if a.max_gang
+    )
     return wasted / total if total else 0.0
 
 
 def measure_blocked(samples: Sequence[Sample], until: float) -> float:
-    """Return the part of time in which a large job waits though enough are free."""
+    """Return the share of time in which a large job was blocked by fragmentation."""
     spans = [(b.at - a.at, a) for a, b in itertools.pairwise(samples) if a.at < until]
     total = sum(s for s, _ in spans)
     return sum(s for s, a in spans if a.blocked) / total if total else 0.0
--- a/src/firladder/_internal/evaluation/loads.py
+++ b/src/firladder/_internal/evaluation/loads.py
@@ -1,7 +1,7 @@
-"""Seeded loads at the users' sizes of today, for the placement policies.
+"""Seeded loads at the users' current sizes, for the placement policies.
 
-Run times are real times; what a job declares is off by up to ten either way,
-alike for jobs of one class and differently for each class.
+A declared run time is wrong by a factor of up to ten in either direction. Jobs of one
+class and organisation share most of this error.
 """
 
 import dataclasses
@@ -14,19 +14,19 @@
 from ..policies.registry import Registry
 
 DOMAIN = "bern-halle"
-WORKER_ACCELERATORS = 8
-RACK_WORKERS = 8
+ACCELERATORS_PER_WORKER = 8
+WORKERS_PER_RACK = 8
 HOUR_S = 3600.0
-DECLARED_ERROR = 10.0
-CLASSES = 4
+MAX_DECLARED_ERROR = 10.0
+JOB_CLASSES = 4
 
 GANG_SIZES = {"alpin": (1, 2), "berg": (1, 2), "civic": (2,), "daily": (2, 3)}
-"""Workers that large gangs take: those of owners fit the owner's largest cell."""
+"""Workers of a large gang; gangs of an owner fit the owner's largest cell."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A job that comes at a time, and how long it really runs. In seconds."""
+    """A job, its arrival and its actual run time, in seconds."""
 
     at: float
     spec: JobSpec
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """All that happens to one failure domain in one run."""
+    """The workers, jobs and faults of one failure domain in one simulation."""
 
     workers: tuple[Machine, ...]
     organisations: dict[str, Organisation]
@@ -47,7 +47,7 @@
 
 
 LOADS: Registry[Callable[[int, int], Load]] = Registry("load")
-"""Each makes a load from a seed and the number of racks (one or three)."""
+"""Functions by name that make a load from a seed and the number of racks."""
 
 
 def make_workers(racks: int) -> tuple[Machine, ...]:
@@ -59,17 +59,17 @@
             failure_domain=DOMAIN,
             address="",
             rack=f"rack{rack}",
-            accelerators=WORKER_ACCELERATORS,
+            accelerators=ACCELERATORS_PER_WORKER,
             cpus=32,
             memory_mb=65536,
         )
         for rack in range(racks)
-        for number in range(RACK_WORKERS)
+        for number in range(WORKERS_PER_RACK)
     )
 
 
 def make_organisations(racks: int) -> dict[str, Organisation]:
-    """Return four organisations, two of them large and one without a shape."""
+    """Return four organisations: two with a large shape, one without a shape."""
 
     def cell(accelerators: int, count: int = 1) -> Cell:
         return Cell(failure_domain=DOMAIN, accelerators=accelerators, count=count)
@@ -82,27 +82,31 @@
     }
 
 
-class Maker:
-    """Draws jobs for one load."""
+class LoadBuilder:
+    """Draws the jobs of one load."""
 
     def __init__(self, seed: int, racks: int) -> None:
-        """Start from a seed."""
+        """Start without jobs."""
         self.random = random.Random(seed)
         self.racks = racks
         self.arrivals: list[Arrival] = []
-        self._errors: dict[tuple[str, str], float] = {}
+        self._declared_errors: dict[tuple[str, str], float] = {}
 
     @property
     def accelerators(self) -> int:
-        """Return the accelerators of the failure domain."""
-        return self.racks * RACK_WORKERS * WORKER_ACCELERATORS
+        """Return the number of accelerators of the failure domain."""
+        return self.racks * WORKERS_PER_RACK * ACCELERATORS_PER_WORKER
 
-    def _declare(self, organisation: str, kind: str, run_s: float) -> float:
+    def _draw_declared_run_time_s(
+        self, organisation: str, kind: str, run_s: float
+    ) -> float:
         key = (organisation, kind)
-        if key not in self._errors:
-            self._errors[key] = DECLARED_ERROR ** self.random.uniform(-1, 1)
-        noise = float(DECLARED_ERROR ** self.random.uniform(-0.1, 0.1))
-        return max(1.0, run_s * self._errors[key] * noise)
+        if key not in self._declared_errors:
+            self._declared_errors[key] = MAX_DECLARED_ERROR ** self.random.uniform(
+                -1, 1
+            )
+        noise = float(MAX_DECLARED_ERROR ** self.random.uniform(-0.1, 0.1))
+        return max(1.0, run_s * self._declared_errors[key] * noise)
 
     def add(
         self,
@@ -116,10 +120,10 @@
         checkpointable: bool | None = None,
         cancel_at: float | None = None,
     ) -> float:
-        """Add a job and return its accelerator seconds."""
-        size = "large" if members * accelerators >= WORKER_ACCELERATORS else "small"
-        kind = f"{size}-{self.random.randrange(CLASSES)}"
-        saves = self.random.random() < 0.5
+        """Add a job and return its work in accelerator-seconds."""
+        size = "large" if members * accelerators >= ACCELERATORS_PER_WORKER else "small"
+        kind = f"{size}-{self.random.randrange(JOB_CLASSES)}"
+        drawn_checkpointable = self.random.random() < 0.5
         spec = JobSpec(
             id=f"j{len(self.arrivals):05d}",
             organisation=organisation,
@@ -127,16 +131,18 @@
             accelerators=accelerators,
             cpus=accelerators,
             memory_mb=1024 * accelerators,
-            run_time_s=self._declare(organisation, kind, run_s),
+            run_time_s=self._draw_declared_run_time_s(organisation, kind, run_s),
             urgency=urgency,
-            checkpointable=saves if checkpointable is None else checkpointable,
+            checkpointable=drawn_checkpointable
+            if checkpointable is None
+            else checkpointable,
             labels={"kind": kind},
         )
         self.arrivals.append(Arrival(at, spec, run_s, cancel_at))
         return members * accelerators * run_s
 
     def add_small(self, at: float, organisation: str, **options: object) -> float:
-        """Add a job of part of a worker, of minutes to an hour."""
+        """Add a job on part of a worker that runs for five to fifty minutes."""
         return self.add(
             at,
             organisation,
@@ -147,18 +153,18 @@
         )
 
     def add_large(self, at: float, organisation: str, **options: object) -> float:
-        """Add a gang of whole workers, of half an hour to two hours."""
+        """Add a gang of whole workers that runs for half an hour to two hours."""
         return self.add(
             at,
             organisation,
             members=self.random.choice(GANG_SIZES[organisation]),
-            accelerators=WORKER_ACCELERATORS,
+            accelerators=ACCELERATORS_PER_WORKER,
             run_s=self.random.uniform(1800, 7200),
             **options,  # type: ignore[arg-type]
         )
 
     def choose_organisation(self, *, skewed: bool = False) -> str:
-        """Draw who submits; skewed, one organisation has most of the demand."""
+        """Draw an organisation; if skewed, one of them has most of the demand."""
         names = ["alpin", "berg", "civic", "daily"]
         weights = [1, 1, 1, 12] if skewed else [4, 3, 1, 2]
         return self.random.choices(names, weights)[0]
@@ -167,23 +173,25 @@
         self,
         *,
         hours: float,
-        part: float,
-        large_part: float = 0.5,
+        load_factor: float,
+        large_share: float = 0.5,
         skewed: bool = False,
     ) -> None:
-        """Add a mix that offers ``part`` of the capacity over some hours."""
-        left = part * self.accelerators * hours * HOUR_S
-        while left > 0:
+        """Add a mix of jobs whose work is ``load_factor`` times the capacity."""
+        remaining_accelerator_s = load_factor * self.accelerators * hours * HOUR_S
+        while remaining_accelerator_s > 0:
             at = self.random.uniform(0, hours * HOUR_S)
             organisation = self.choose_organisation(skewed=skewed)
-            # By work, not by number: a large gang is worth tens of small jobs.
-            large = self.random.random() < _odds(large_part)
+            # The share is one of work: a large gang has the work of many small jobs.
+            large = self.random.random() < _compute_large_probability(large_share)
             urgent: Urgency = "urgent" if self.random.random() < 0.1 else "overnight"
             add = self.add_large if large else self.add_small
-            left -= add(at, organisation, urgency="overnight" if large else urgent)
+            remaining_accelerator_s -= add(
+                at, organisation, urgency="overnight" if large else urgent
+            )
 
     def finish(self, **extra: object) -> Load:
-        """Return the load, its arrivals in order of time."""
+        """Return the load, with its arrivals in order of time."""
         return Load(
             workers=make_workers(self.racks),
             organisations=make_organisations(self.racks),
@@ -192,128 +200,133 @@
         )
 
 
-SMALL_WORK = 2.0 * 1650
-LARGE_WORK = 1.8 * WORKER_ACCELERATORS * 4500
-"""Mean accelerator seconds of a small job and of a large gang."""
+MEAN_SMALL_WORK_S = 2.0 * 1650
+MEAN_LARGE_WORK_S = 1.8 * ACCELERATORS_PER_WORKER * 4500
+"""Mean accelerator-seconds of a small job and of a large gang."""
 
 
-def _odds(large_part: float) -> float:
-    """Return the share of jobs that are large, for their share of the work."""
-    large, small = large_part / LARGE_WORK, (1 - large_part) / SMALL_WORK
+def _compute_large_probability(large_share: float) -> float:
+    """Return the share of large jobs by number, given their share of the work."""
+    large, small = (
+        large_share / MEAN_LARGE_WORK_S,
+        (1 - large_share) / MEAN_SMALL_WORK_S,
+    )
     return large / (large + small)
 
 
 @LOADS.register("mixed")
 def make_mixed(seed: int, racks: int) -> Load:
-    """Long and short, small and large, at nine tenths of capacity."""
-    maker = Maker(seed, racks)
-    maker.fill(hours=16, part=0.9)
-    return maker.finish()
+    """Offer a mix of long, short, small and large jobs at 90% of capacity."""
+    builder = LoadBuilder(seed, racks)
+    builder.fill(hours=16, load_factor=0.9)
+    return builder.finish()
 
 
 @LOADS.register("saturated")
 def make_saturated(seed: int, racks: int) -> Load:
     """Offer the same mix at capacity."""
-    maker = Maker(seed, racks)
-    maker.fill(hours=12, part=1.0)
-    return maker.finish()
+    builder = LoadBuilder(seed, racks)
+    builder.fill(hours=12, load_factor=1.0)
+    return builder.finish()
 
 
 @LOADS.register("twice")
 def make_twice(seed: int, racks: int) -> Load:
     """Offer the same mix at twice the capacity."""
-    maker = Maker(seed, racks)
-    maker.fill(hours=6, part=2.0)
-    return maker.finish()
+    builder = LoadBuilder(seed, racks)
+    builder.fill(hours=6, load_factor=2.0)
+    return builder.finish()
 
 
 @LOADS.register("small_bursts")
 def make_small_bursts(seed: int, racks: int) -> Load:
-    """Half a load, and bursts of small jobs every two hours."""
-    maker = Maker(seed, racks)
-    maker.fill(hours=12, part=0.5, large_part=0.7)
+    """Offer the mix at half the capacity, and a burst of small jobs every two hours."""
+    builder = LoadBuilder(seed, racks)
+    builder.fill(hours=12, load_factor=0.5, large_share=0.7)
     for burst in range(1, 6):
         for _ in range(40 * racks):
-            maker.add_small(burst * 2 * HOUR_S, maker.choose_organisation())
-    return maker.finish()
+            builder.add_small(burst * 2 * HOUR_S, builder.choose_organisation())
+    return builder.finish()
 
 
 @LOADS.register("large_bursts")
 def make_large_bursts(seed: int, racks: int) -> Load:
-    """Small work at half load, and bursts of large gangs every three hours."""
-    maker = Maker(seed, racks)
-    maker.fill(hours=12, part=0.5, large_part=0.0)
+    """Offer small jobs at half the capacity, and large gangs every three hours."""
+    builder = LoadBuilder(seed, racks)
+    builder.fill(hours=12, load_factor=0.5, large_share=0.0)
     for burst in range(1, 4):
         for _ in range(4 * racks):
-            maker.add_large(burst * 3 * HOUR_S, maker.choose_organisation())
-    return maker.finish()
+            builder.add_large(burst * 3 * HOUR_S, builder.choose_organisation())
+    return builder.finish()
 
 
 @LOADS.register("skewed")
 def make_skewed(seed: int, racks: int) -> Load:
-    """One organisation without a shape has most of the demand."""
-    maker = Maker(seed, racks)
-    maker.fill(hours=12, part=1.0, skewed=True)
-    return maker.finish()
+    """Let one organisation without a shape have most of the demand."""
+    builder = LoadBuilder(seed, racks)
+    builder.fill(hours=12, load_factor=1.0, skewed=True)
+    return builder.finish()
 
 
 @LOADS.register("faulty_workers")
-def make_faulty(seed: int, racks: int) -> Load:
-    """Let an eighth of the workers fail everything they start."""
-    maker = Maker(seed, racks)
-    maker.fill(hours=12, part=0.7)
+def make_faulty_workers(seed: int, racks: int) -> Load:
+    """Let an eighth of the workers fail every job that they start."""
+    builder = LoadBuilder(seed, racks)
+    builder.fill(hours=12, load_factor=0.7)
     names = [w.name for w in make_workers(racks)]
-    faulty = maker.random.sample(names, racks)
-    return maker.finish(faulty_workers=frozenset(faulty))
+    faulty = builder.random.sample(names, racks)
+    return builder.finish(faulty_workers=frozenset(faulty))
 
 
 @LOADS.register("cancellations")
 def make_cancellations(seed: int, racks: int) -> Load:
-    """At twice the capacity, half of all jobs are cancelled in one wave."""
-    maker = Maker(seed, racks)
-    maker.fill(hours=6, part=2.0)
+    """Offer twice the capacity, and cancel half of the jobs at one moment."""
+    builder = LoadBuilder(seed, racks)
+    builder.fill(hours=6, load_factor=2.0)
     wave_at = 3 * HOUR_S
-    maker.arrivals = [
+    builder.arrivals = [
         dataclasses.replace(a, cancel_at=wave_at)
-        if a.at < wave_at and maker.random.random() < 0.5
+        if a.at < wave_at and builder.random.random() < 0.5
         else a
-        for a in maker.arrivals
+        for a in builder.arrivals
     ]
-    return maker.finish()
+    return builder.finish()
 
 
 @LOADS.register("lost_workers")
-def make_lost(seed: int, racks: int) -> Load:
-    """Lose a third of the workers at once, half way."""
-    maker = Maker(seed, racks)
-    maker.fill(hours=12, part=0.7)
+def make_lost_workers(seed: int, racks: int) -> Load:
+    """Lose a third of the workers at once after half of the time."""
+    builder = LoadBuilder(seed, racks)
+    builder.fill(hours=12, load_factor=0.7)
     names = [w.name for w in make_workers(racks)]
-    lost = maker.random.sample(names, len(names) // 3)
-    return maker.finish(lost_workers=frozenset(lost), lost_at=6 * HOUR_S)
+    lost = builder.random.sample(names, len(names) // 3)
+    return builder.finish(lost_workers=frozenset(lost), lost_at=6 * HOUR_S)
 
 
 @LOADS.register("reclaim")
 def make_reclaim(seed: int, racks: int) -> Load:
-    """Lent work fills the fleet; all owners claim their whole shapes at once."""
-    maker = Maker(seed, racks)
-    left = 1.3 * maker.accelerators * 8 * HOUR_S
-    while left > 0:
-        at = maker.random.uniform(0, 8 * HOUR_S)
-        large = maker.random.random() < _odds(0.4)
-        left -= (maker.add_large if large else maker.add_small)(at, "daily")
+    """Fill the fleet with lent work, then let all owners use their shapes at once."""
+    builder = LoadBuilder(seed, racks)
+    remaining_accelerator_s = 1.3 * builder.accelerators * 8 * HOUR_S
+    while remaining_accelerator_s > 0:
+        at = builder.random.uniform(0, 8 * HOUR_S)
+        large = builder.random.random() < _compute_large_probability(0.4)
+        remaining_accelerator_s -= (builder.add_large if large else builder.add_small)(
+            at, "daily"
+        )
     owners = make_organisations(racks)
     for wave in (1, 3, 5, 7):
-        at = wave * HOUR_S + maker.random.uniform(0, 600)
+        at = wave * HOUR_S + builder.random.uniform(0, 600)
         for name, owner in owners.items():
             for cell in owner.shape:
                 for _ in range(cell.count):
-                    maker.add(
+                    builder.add(
                         at,
                         name,
-                        members=max(1, cell.accelerators // WORKER_ACCELERATORS),
-                        accelerators=min(cell.accelerators, WORKER_ACCELERATORS),
-                        run_s=maker.random.uniform(900, 3000),
+                        members=max(1, cell.accelerators // ACCELERATORS_PER_WORKER),
+                        accelerators=min(cell.accelerators, ACCELERATORS_PER_WORKER),
+                        run_s=builder.random.uniform(900, 3000),
                         urgency="normal",
                         checkpointable=False,
                     )
-    return maker.finish()
+    return builder.finish()
--- a/src/firladder/_internal/evaluation/report.py
+++ b/src/firladder/_internal/evaluation/report.py
@@ -1,21 +1,21 @@
-"""Run policies over loads with the same seeds, and put the outcomes in a table."""
+"""Run policies over loads with the same seeds, and tabulate the outcomes."""
 
 import dataclasses
 from collections.abc import Iterable, Sequence
 
 from ..policies.placement_catalogue import PLACEMENTS
 from .driver import Driver, Trace
-from .loads import LOADS, WORKER_ACCELERATORS, make_organisations
-from .measures import find_percentile, measure_blocked, measure_fragmentation
+from .fleet_metrics import find_percentile, measure_blocked, measure_fragmentation
+from .loads import ACCELERATORS_PER_WORKER, LOADS, make_organisations
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """What one policy made of one load, over all seeds.
+    """The outcome of one policy under one load, over all seeds.
 
-    Waits are in seconds and count all time in which a job did not run usefully,
-    lost runs included; ``small_p50`` to ``urgent_p99`` are completion times. A
-    job is ``owned`` if its organisation has a cell that holds it.
+    Waits are in seconds and include the time of runs whose work was lost;
+    ``small_p50`` to ``urgent_p99`` are completion times. A job is owned if its
+    organisation has a cell that it fits.
     """
 
     load: str
@@ -39,7 +39,7 @@
 def evaluate(
     load: str, policy: str, *, seeds: Sequence[int], racks: Sequence[int]
 ) -> Outcome:
-    """Run one policy over one load with every seed and size, and pool the jobs."""
+    """Run one policy under one load for all seeds and sizes, and pool the jobs."""
     chosen, make = PLACEMENTS.find(policy), LOADS.find(load)
     if chosen is None or make is None:
         raise ValueError(f"no load {load!r} or policy {policy!r}")
@@ -47,8 +47,8 @@
         Driver(chosen, make(seed, size)).run() for seed in seeds for size in racks
     ]
     traces = [t for d in drivers for t in d.traces.values() if t.end != "cancelled"]
-    large = [t for t in traces if t.size >= WORKER_ACCELERATORS]
-    small = [t for t in traces if t.size < WORKER_ACCELERATORS]
+    large = [t for t in traces if t.size >= ACCELERATORS_PER_WORKER]
+    small = [t for t in traces if t.size < ACCELERATORS_PER_WORKER]
     urgent = [t for t in traces if t.arrival.spec.urgency == "urgent"]
     waits = [find_delay(t) for t in large]
     owned = [find_delay(t) for t in large if is_owned(t)]
@@ -63,9 +63,11 @@
         urgent_p50=find_percentile(map(find_completion, urgent), 0.5),
         urgent_p99=find_percentile(map(find_completion, urgent), 0.99),
         fragmentation=_mean(measure_fragmentation(d.samples) for d in drivers),
-        blocked=_mean(measure_blocked(d.samples, _find_last(d)) for d in drivers),
+        blocked=_mean(
+            measure_blocked(d.samples, _find_last_arrival(d)) for d in drivers
+        ),
         lost=sum(t.lost for t in traces),
-        reclaims=sum(t.owed for t in traces),
+        reclaims=sum(t.guaranteed for t in traces),
         failures=sum(len(d.list_reclaim_failures()) for d in drivers),
         unfinished=sum(t.end != "done" for t in traces),
         unfairness=_mean(map(measure_unfairness, drivers)),
@@ -73,7 +75,7 @@
 
 
 def is_owned(trace: Trace) -> bool:
-    """Tell whether the organisation's largest cell holds the whole gang."""
+    """Return whether the whole gang fits the organisation's largest cell."""
     return trace.size <= LARGEST_CELLS.get(trace.arrival.spec.organisation, 0)
 
 
@@ -91,14 +93,14 @@
 
 
 def find_delay(trace: Trace) -> float:
-    """Return all time that a job did not run usefully, lost runs included."""
+    """Return the time that a job waited, lost runs included."""
     if trace.ended_at is None:
         return float("inf")
     return max(0.0, trace.ended_at - trace.arrival.at - trace.arrival.run_s)
 
 
 def measure_unfairness(driver: Driver) -> float:
-    """Return the largest mean delay of an organisation over the smallest."""
+    """Return the ratio of the largest mean delay of an organisation to the smallest."""
     means = []
     for name in {t.arrival.spec.organisation for t in driver.traces.values()}:
         delays = [
@@ -110,7 +112,7 @@
     return max(means) / max(60.0, min(means))
 
 
-def _find_last(driver: Driver) -> float:
+def _find_last_arrival(driver: Driver) -> float:
     return max(t.arrival.at for t in driver.traces.values())
 
 
