--- a/src/firladder/_internal/evaluation/request_report.py
+++ b/src/firladder/_internal/evaluation/request_report.py
@@ -1,4 +1,4 @@
-"""Put the policies on requests through loads, and print them side by side."""
+"""Run sets of request policies under loads, and tabulate the outcomes."""
 
 import dataclasses
 import functools
@@ -10,10 +10,17 @@
 
 from ..models.configuration import Urgency
 from ..policies.dispatching import DispatchPolicies, find_policies
-from .requests import CAPACITY, GATEWAYS, RUN_S, Arrival, Outcomes, RequestDriver
+from .requests import (
+    CAPACITY_PER_S,
+    GATEWAYS,
+    MEAN_RUN_S,
+    Arrival,
+    Outcomes,
+    RequestDriver,
+)
 
-SECONDS = 6.0
-"""Simulated length of each load: thirty run times."""
+LOAD_DURATION_S = 6.0
+"""Simulated duration of each load: thirty mean run times."""
 
 SEEDS = (1, 2)
 
@@ -31,32 +38,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stream:
-    """Requests of one kind; ``part`` is the part of the capacity they ask for.
+    """Requests of one kind, offered at ``load_factor`` times the capacity.
 
-    ``skewed`` sends seven of ten to the first gateway; ``long_part`` of the
-    requests run ten times as long as the others; a ``burst`` comes at once.
+    With ``skewed`` seven of ten go to the first gateway and the rest to any. A share
+    of ``long_share`` runs ten times as long as the others; a ``burst`` arrives at once.
     """
 
-    part: float
+    load_factor: float
     urgency: Urgency = "normal"
     organisation: str = "kraftwerk"
     deadline_s: float = 2.0
     weight: int = 1
     skewed: bool = False
-    long_part: float = 0.0
+    long_share: float = 0.0
     burst: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """A named load, with what is wrong with the targets under it."""
+    """A named load, with the numbers of slow and broken targets under it."""
 
     name: str
     streams: tuple[Stream, ...]
     slow: int = 0
     broken: int = 0
     recovers_at: float = math.inf
-    comes_back: bool = False
+    callers_retry: bool = False
 
 
 URGENT = Stream(0.05, "urgent", deadline_s=2.0)
@@ -79,7 +86,7 @@
         (Stream(3.0, organisation="flood"), Stream(0.2, organisation="small")),
     ),
     Load("skewed gateways", (Stream(0.6, skewed=True),)),
-    Load("long and short", (Stream(0.8, long_part=0.05, deadline_s=6.0),)),
+    Load("long and short", (Stream(0.8, long_share=0.05, deadline_s=6.0),)),
     Load(
         "urgent flood",
         (
@@ -90,26 +97,26 @@
     Load(
         "burst that returns",
         (Stream(0.4, burst=True, organisation="crowd"), Stream(0.3)),
-        comes_back=True,
+        callers_retry=True,
     ),
 )
 
 
 def make_arrivals(streams: Sequence[Stream], rng: random.Random) -> Iterator[Arrival]:
-    """Yield the arrivals of all streams, by Poisson processes."""
+    """Yield the arrivals of all streams, each a Poisson process."""
     for stream in streams:
-        rate = stream.part * CAPACITY
-        if stream.long_part:
-            rate /= 1 + 9 * stream.long_part
+        rate = stream.load_factor * CAPACITY_PER_S
+        if stream.long_share:
+            rate /= 1 + 9 * stream.long_share
         now = 0.0
-        while now < SECONDS:
+        while now < LOAD_DURATION_S:
             now += rng.expovariate(rate)
-            long_ = rng.random() < stream.long_part
+            long_ = rng.random() < stream.long_share
             yield Arrival(
                 1.0 if stream.burst else now,
                 stream.organisation,
                 stream.urgency,
-                RUN_S * rng.uniform(0.5, 1.5) * (10 if long_ else 1),
+                MEAN_RUN_S * rng.uniform(0.5, 1.5) * (10 if long_ else 1),
                 stream.deadline_s,
                 0 if stream.skewed and rng.random() < 0.7 else rng.randrange(GATEWAYS),
                 stream.weight,
@@ -119,42 +126,42 @@
 @functools.cache
 def run_load(load: str, policies: str, seed: int) -> Outcomes:
     """Return the outcomes of one load under one set of policies."""
-    found = next(entry for entry in LOADS if entry.name == load)
+    load_entry = next(entry for entry in LOADS if entry.name == load)
     driver = RequestDriver(
         POLICIES[policies],
         seed=seed,
-        slow=found.slow,
-        broken=found.broken,
-        recovers_at=found.recovers_at,
-        comes_back=found.comes_back,
-        until_s=SECONDS,
+        slow=load_entry.slow,
+        broken=load_entry.broken,
+        recovers_at=load_entry.recovers_at,
+        callers_retry=load_entry.callers_retry,
+        load_end_s=LOAD_DURATION_S,
     )
-    return driver.run(make_arrivals(found.streams, random.Random(seed)))
+    return driver.run(make_arrivals(load_entry.streams, random.Random(seed)))
 
 
 def find_quantile(
     load: str,
     policies: str,
     urgency: Urgency,
-    part: float,
+    fraction: float,
     *,
     seeds: Sequence[int] = SEEDS,
 ) -> float:
-    """Return the worst quantile of the completion times over the seeds, in s."""
+    """Return the worst quantile of the completion times over the seeds, in seconds."""
     runs = (run_load(load, policies, seed) for seed in seeds)
-    return max(r.find_quantile(urgency, part) for r in runs)
+    return max(r.find_quantile(urgency, fraction) for r in runs)
 
 
 def measure_goodput(load: str, policies: str, *, seeds: Sequence[int] = SEEDS) -> float:
-    """Return the answers in time a second, over the seeds."""
+    """Return the mean rate of answers in time over the seeds, per second."""
     runs = [run_load(load, policies, seed) for seed in seeds]
-    return sum(r.in_window for r in runs) / SECONDS / len(runs)
+    return sum(r.in_time_within_load for r in runs) / LOAD_DURATION_S / len(runs)
 
 
 def measure_in_time(
     load: str, policies: str, organisation: str, *, seeds: Sequence[int] = SEEDS
 ) -> float:
-    """Return the part of an organisation's requests answered in time."""
+    """Return the share of an organisation's requests that were answered in time."""
     runs = [run_load(load, policies, seed) for seed in seeds]
     offered = sum(r.offered[organisation] for r in runs)
     return sum(r.in_time[organisation] for r in runs) / offered
@@ -164,8 +171,8 @@
     runs = [run_load(load.name, policies, seed) for seed in SEEDS]
     offered = sum(r.offered.total() for r in runs)
     times = [
-        f"{find_quantile(load.name, policies, load.streams[0].urgency, part):.2f}"
-        for part in (0.5, 0.95, 0.99)
+        f"{find_quantile(load.name, policies, load.streams[0].urgency, fraction):.2f}"
+        for fraction in (0.5, 0.95, 0.99)
     ]
     cells = [
         load.name,
@@ -189,8 +196,9 @@
 ) -> None:
     """Print a row for each load and set of policies, in Markdown.
 
-    The quantiles are of the load's first stream; the last columns give the
-    part of its first and of its last stream's organisation served in time.
+    The quantiles are of the load's first stream. The "first org." and "last org."
+    columns give the share of requests in time for the organisations of the first and
+    the last stream.
     """
     head = (
         "load",
--- a/src/firladder/_internal/evaluation/requests.py
+++ b/src/firladder/_internal/evaluation/requests.py
@@ -1,7 +1,7 @@
-"""Drive the decisions on requests over fake targets, with a fake clock.
+"""Simulate the scheduling of requests, with a simulated clock and targets.
 
-The queues, shares, scores and routes are the gateway's own code; only time,
-arrivals and targets are made up, from a seed.
+Queues, shares, scores and routes are the gateway's own code; only the clock, the
+arrivals and the targets are simulated, from a seed.
 """
 
 import dataclasses
@@ -24,26 +24,26 @@
 
 SERVICE = "planwerk"
 TARGETS = 24
-SLOTS = 8
+SLOTS_PER_TARGET = 8
 GATEWAYS = 8
-RUN_S = 0.2
-CAPACITY = TARGETS * SLOTS / RUN_S
-"""Requests a second that all targets together can run."""
+MEAN_RUN_S = 0.2
+CAPACITY_PER_S = TARGETS * SLOTS_PER_TARGET / MEAN_RUN_S
+"""Requests per second that all targets together can run."""
 
 BROKEN_RUN_S = 0.005
-"""How fast a broken target fails: faster than any answer, and so attractive."""
+"""Time to failure on a broken target; short, so that the target seems fast."""
 
 QUEUE_LIMIT = 2000
-HEARTBEAT_S = 1.0
-TICK_S = 0.02
-MOST_RETURNS = 4
+HEARTBEAT_INTERVAL_S = 1.0
+DISPATCH_INTERVAL_S = 0.02
+MAX_RETRIES = 4
 
-EVERYTHING = Selector()
+MATCH_ALL = Selector()
 
 
 @dataclasses.dataclass(slots=True)
 class Arrival:
-    """One request as its caller sends it; ``run_s`` is known to nobody else."""
+    """A request as its caller sends it; ``run_s`` is hidden from the policies."""
 
     at: float
     organisation: str
@@ -52,32 +52,32 @@
     deadline_s: float
     gateway: int
     weight: int = 1
-    returns: int = 0
+    retries: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class Outcomes:
-    """What became of the requests, as their callers see it."""
+    """The outcomes of the requests, as their callers see them."""
 
-    spent_s: dict[Urgency, list[float]] = dataclasses.field(default_factory=dict)
+    completion_s: dict[Urgency, list[float]] = dataclasses.field(default_factory=dict)
     in_time: Counter[str] = dataclasses.field(default_factory=Counter)
     offered: Counter[str] = dataclasses.field(default_factory=Counter)
     failed: Counter[str] = dataclasses.field(default_factory=Counter)
-    in_window: int = 0
+    in_time_within_load: int = 0
     late: int = 0
     refused: int = 0
-    returned_in_time: int = 0
+    retried_in_time: int = 0
     longest_wait_s: float = 0.0
 
     def find_quantile(self, urgency: Urgency, part: float) -> float:
         """Return a quantile of the completion times, in seconds."""
-        times = sorted(self.spent_s.get(urgency, []))
+        times = sorted(self.completion_s.get(urgency, []))
         return times[min(len(times) - 1, int(part * len(times)))] if times else 0.0
 
 
 @dataclasses.dataclass(slots=True)
 class FakeTarget:
-    """Some slots, and a queue for what was sent beyond them."""
+    """A target with some slots, and a queue for the requests beyond them."""
 
     slowness: float = 1.0
     broken: bool = False
@@ -87,7 +87,7 @@
 
 @dataclasses.dataclass(slots=True)
 class FakeGateway:
-    """The decisions of one gateway."""
+    """The scheduling state of one gateway."""
 
     table: TargetTable
     queues: ServiceQueues
@@ -95,7 +95,7 @@
 
 
 class RequestDriver:
-    """One run: every event in the order of its time."""
+    """A simulation of all gateways and targets under one set of policies."""
 
     def __init__(
         self,
@@ -106,15 +106,15 @@
         slowness: float = 10.0,
         broken: int = 0,
         recovers_at: float = math.inf,
-        comes_back: bool = False,
-        until_s: float = math.inf,
+        callers_retry: bool = False,
+        load_end_s: float = math.inf,
     ) -> None:
-        """Make ``slow`` targets slower than the others, up to ``recovers_at``.
+        """Make ``slow`` targets slow and ``broken`` ones broken until ``recovers_at``.
 
-        ``broken`` targets fail every request at once, up to the same time.
+        Broken targets fail every request at once.
 
-        Answers after ``until_s`` do not count as goodput: what is left in the
-        queues when the arrivals end would flatter a policy that queues more.
+        Answers after ``load_end_s`` do not count as goodput: requests that are still
+        queued when the arrivals end would favour a policy that queues more.
         """
         self._rng = random.Random(seed)
         self._configuration = Configuration(revision=1)
@@ -123,13 +123,13 @@
             for n in range(TARGETS)
         }
         self._gateways = [self._make_gateway(policies, n) for n in range(GATEWAYS)]
-        self._comes_back = comes_back
-        self._until_s = until_s
+        self._callers_retry = callers_retry
+        self._load_end_s = load_end_s
         self._recovers_at = recovers_at
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._numbers = itertools.count()
         self._arrivals: dict[str, Arrival] = {}
-        self._open = 0
+        self._unanswered = 0
         self.outcomes = Outcomes()
 
     def _make_gateway(self, policies: DispatchPolicies, number: int) -> FakeGateway:
@@ -141,7 +141,7 @@
                 failure_domain="bern-halle",
                 address="",
                 service=SERVICE,
-                slots=SLOTS,
+                slots=SLOTS_PER_TARGET,
                 connections=64,
             )
             for name in self._targets
@@ -154,34 +154,34 @@
         return FakeGateway(table, queues)
 
     def run(self, arrivals: Iterator[Arrival]) -> Outcomes:
-        """Play all arrivals until each has its outcome."""
+        """Simulate until every arrival has an outcome."""
         for arrival in arrivals:
-            self._open += 1
+            self._unanswered += 1
             self.outcomes.offered[arrival.organisation] += 1
-            self._plan(arrival.at, functools.partial(self._arrive, arrival))
-        self._plan(0.0, self._tick)
-        self._plan(0.0, self._share)
-        while self._events and self._open:
-            now, _, act = heapq.heappop(self._events)
-            act(now)
+            self._schedule(arrival.at, functools.partial(self._arrive, arrival))
+        self._schedule(0.0, self._dispatch_all)
+        self._schedule(0.0, self._exchange_demands)
+        while self._events and self._unanswered:
+            now, _, action = heapq.heappop(self._events)
+            action(now)
         return self.outcomes
 
-    def _plan(self, at: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (at, next(self._numbers), act))
+    def _schedule(self, at: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._numbers), action))
 
-    def _tick(self, now: float) -> None:
+    def _dispatch_all(self, now: float) -> None:
         for gateway in self._gateways:
             self._send_ready(gateway, now)
-        self._plan(now + TICK_S, self._tick)
+        self._schedule(now + DISPATCH_INTERVAL_S, self._dispatch_all)
 
-    def _share(self, now: float) -> None:
+    def _exchange_demands(self, now: float) -> None:
         demands = {
             f"gateway-{n}": len(g.queues) + g.in_flight
             for n, g in enumerate(self._gateways)
         }
         for gateway in self._gateways:
             gateway.table.set_demands({SERVICE: demands})
-        self._plan(now + HEARTBEAT_S, self._share)
+        self._schedule(now + HEARTBEAT_INTERVAL_S, self._exchange_demands)
 
     def _arrive(self, arrival: Arrival, now: float) -> None:
         gateway = self._gateways[arrival.gateway]
@@ -197,7 +197,7 @@
         failure = gateway.queues.admit(
             req,
             room=gateway.table.measure_capacity(
-                SERVICE, EVERYTHING, self._configuration
+                SERVICE, MATCH_ALL, self._configuration
             ),
             in_flight=gateway.in_flight,
             expected_s=gateway.table.estimate_latency(SERVICE),
@@ -205,24 +205,28 @@
             rng=self._rng,
         )
         if failure is not None:
-            self._refuse(arrival, failure, now)
+            self._reject(arrival, failure, now)
             return
         self._arrivals[key] = arrival
-        gateway.queues.push(req, EVERYTHING)
+        gateway.queues.push(req, MATCH_ALL)
         self._send_ready(gateway, now)
 
-    def _refuse(self, arrival: Arrival, failure: Failure, now: float) -> None:
-        back_s = failure.retry_after_s
-        if not self._comes_back or back_s is None or arrival.returns >= MOST_RETURNS:
+    def _reject(self, arrival: Arrival, failure: Failure, now: float) -> None:
+        retry_delay_s = failure.retry_after_s
+        if (
+            not self._callers_retry
+            or retry_delay_s is None
+            or arrival.retries >= MAX_RETRIES
+        ):
             self.outcomes.refused += 1
-            self._open -= 1
+            self._unanswered -= 1
             return
-        again = dataclasses.replace(
+        retry = dataclasses.replace(
             arrival,
-            returns=arrival.returns + 1,
+            retries=arrival.retries + 1,
             gateway=self._rng.randrange(GATEWAYS),
         )
-        self._plan(now + back_s, functools.partial(self._arrive, again))
+        self._schedule(now + retry_delay_s, functools.partial(self._arrive, retry))
 
     def _send_ready(self, gateway: FakeGateway, now: float) -> None:
         table = gateway.table
@@ -237,16 +241,16 @@
                 failure = gateway.queues.refuse_late(
                     now, expected_s=expected_s, rng=self._rng
                 )
-                self._refuse(self._arrivals.pop(req.id), failure, now)
+                self._reject(self._arrivals.pop(req.id), failure, now)
                 continue
             arrival = self._arrivals.pop(req.id)
             wait_s = now - req.arrived_at
             self.outcomes.longest_wait_s = max(self.outcomes.longest_wait_s, wait_s)
             table.states[name].score.record_sent(req.id, now)
             gateway.in_flight += 1
-            self._begin(gateway, req, arrival, name, now)
+            self._send(gateway, req, arrival, name, now)
 
-    def _begin(
+    def _send(
         self,
         gateway: FakeGateway,
         req: WaitingRequest,
@@ -262,7 +266,7 @@
             run_s = arrival.run_s * (target.slowness if bad else 1.0)
             fails = bad and target.broken
             end = functools.partial(finish, fails)
-            self._plan(at + (BROKEN_RUN_S if fails else run_s), end)
+            self._schedule(at + (BROKEN_RUN_S if fails else run_s), end)
 
         def finish(fails: bool, at: float) -> None:
             target.busy -= 1
@@ -274,23 +278,25 @@
             if fails:
                 gateway.table.record_failure(name, at)
                 self.outcomes.failed[req.organisation] += 1
-                self._open -= 1
+                self._unanswered -= 1
             else:
                 gateway.table.record_success(name, at - now, at)
-                self._note_end(req, arrival, at)
+                self._record_answer(req, arrival, at)
             self._send_ready(gateway, at)
 
-        if target.busy < SLOTS:
+        if target.busy < SLOTS_PER_TARGET:
             start(now)
         else:
             target.waiting.append(start)
 
-    def _note_end(self, req: WaitingRequest, arrival: Arrival, now: float) -> None:
-        self._open -= 1
-        self.outcomes.spent_s.setdefault(req.urgency, []).append(now - req.arrived_at)
+    def _record_answer(self, req: WaitingRequest, arrival: Arrival, now: float) -> None:
+        self._unanswered -= 1
+        self.outcomes.completion_s.setdefault(req.urgency, []).append(
+            now - req.arrived_at
+        )
         if now > req.deadline:
             self.outcomes.late += 1
             return
         self.outcomes.in_time[req.organisation] += 1
-        self.outcomes.in_window += now <= self._until_s
-        self.outcomes.returned_in_time += arrival.returns > 0
+        self.outcomes.in_time_within_load += now <= self._load_end_s
+        self.outcomes.retried_in_time += arrival.retries > 0
