--- a/src/firladder/_internal/evaluation/speed.py
+++ b/src/firladder/_internal/evaluation/placement_cost.py
@@ -1,11 +1,11 @@
-"""Measure what a pass of the product's own placement policy costs."""
+"""Measure the processor time of a pass of the "cells" placement policy."""
 
 from collections.abc import Iterable
 
 import msgspec
 
 from ..measure.decisions import (
-    fill_books,
+    fill_accounting,
     make_configuration,
     make_job,
     make_machines,
@@ -17,13 +17,13 @@
 from ..scheduler.accounting import Accounting
 
 WORKERS, TASKS, QUEUE = 217, 3200, 100
-"""A failure domain at letter 1's size; the queue is a guess at a busy hour."""
+"""The mean failure domain of the target fleet; the queue is an assumed busy hour."""
 
 TEAMS = 20
 
 
 def make_queue(length: int) -> list[JobRecord]:
-    """Return waiting jobs of eight kinds, none of which fits a worker's rest."""
+    """Return waiting gangs of eight sizes, none of which can be placed."""
     record = make_job(0, make_machines(1), 1)
     return [
         msgspec.structs.replace(
@@ -44,8 +44,8 @@
 
 
 def time_pass(workers: int, tasks: int, queue: int) -> float:
-    """Return the milliseconds of processor time of one view and one pass."""
-    accounting, jobs = fill_books(workers, tasks), make_queue(queue)
+    """Return the processor time of one view and one pass, in milliseconds."""
+    accounting, jobs = fill_accounting(workers, tasks), make_queue(queue)
     configuration = make_configuration(TEAMS)
     policy = PLACEMENTS.find("cells")
     assert policy is not None
@@ -64,7 +64,7 @@
 
 
 def measure_cells() -> Iterable[Series]:
-    """Measure a pass against workers, running tasks and the queue's length."""
+    """Measure a pass for numbers of workers, running tasks and queued jobs."""
     note = f"view and cells; else {WORKERS} workers, {TASKS} tasks, {QUEUE} queued"
     yield Series(
         name="cells.cpu.workers",
--- a/src/firladder/_internal/measure/decisions.py
+++ b/src/firladder/_internal/measure/decisions.py
@@ -87,7 +87,7 @@
     )
 
 
-def fill_books(workers: int, tasks: int) -> Accounting:
+def fill_accounting(workers: int, tasks: int) -> Accounting:
     """Return a leader's books with all workers claimed and gangs running."""
     machines = make_machines(workers)
     accounting = Accounting(DOMAIN)
@@ -174,7 +174,7 @@
         per="worker",
         unit="ms",
         points=tuple(
-            (n, time_call(functools.partial(_run_pass, fill_books(n, 1024), few)))
+            (n, time_call(functools.partial(_run_pass, fill_accounting(n, 1024), few)))
             for n in (50, 100, 150, 217)
         ),
         note="view and the default policy with 1,024 running tasks and an empty queue",
@@ -184,7 +184,7 @@
         per="task",
         unit="ms",
         points=tuple(
-            (n, time_call(functools.partial(_run_pass, fill_books(217, n), few)))
+            (n, time_call(functools.partial(_run_pass, fill_accounting(217, n), few)))
             for n in (0, 800, 1600, 2400, 3200)
         ),
         note="view and the default policy on 217 workers",
@@ -198,7 +198,7 @@
                 n,
                 time_call(
                     functools.partial(
-                        _run_pass, fill_books(217, 0), make_configuration(n)
+                        _run_pass, fill_accounting(217, 0), make_configuration(n)
                     )
                 ),
             )
@@ -277,7 +277,8 @@
         per="worker",
         unit="KB",
         points=tuple(
-            (n, weigh(functools.partial(fill_books, n, 0))) for n in (50, 100, 150, 217)
+            (n, weigh(functools.partial(fill_accounting, n, 0)))
+            for n in (50, 100, 150, 217)
         ),
     )
     yield Series(
@@ -285,7 +286,7 @@
         per="task",
         unit="KB",
         points=tuple(
-            (n, weigh(functools.partial(fill_books, 217, n)))
+            (n, weigh(functools.partial(fill_accounting, 217, n)))
             for n in (0, 800, 1600, 3200)
         ),
         note="task in the gang's record and in its worker's row",
