--- a/src/firladder/_internal/model/__init__.py
+++ b/src/firladder/_internal/model/__init__.py
@@ -1,1 +1,1 @@
-"""A small specification of the core protocol, for the model checker."""
+"""Specifications of the core protocol for the model checker."""
--- a/src/firladder/_internal/model/claims.py
+++ b/src/firladder/_internal/model/claims.py
@@ -1,4 +1,4 @@
-"""One request id that must run once, two gateways and a store that loses answers."""
+"""Model of one request id, two gateways, and a store whose answers can be lost."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -10,8 +10,8 @@
     """The store's claim, what each gateway believes, and who has run the id.
 
     A gateway is idle, asking (its write may or may not have taken effect),
-    refused (its write found a key), unsure (its answer was lost), mine, or
-    declined (it has told its caller "not run").
+    refused (its write found a key), unsure (its answer was lost), mine, theirs,
+    or declined (it has told its caller "not run").
     """
 
     owner: str = ""
@@ -21,19 +21,19 @@
     store_up: bool = True
 
 
-def _set(claims: Claims, who: int, state: str, **fields: object) -> Claims:
+def _set_state(claims: Claims, who: int, state: str, **fields: object) -> Claims:
     gateways = tuple(state if i == who else g for i, g in enumerate(claims.gateways))
     return claims._replace(gateways=gateways, **fields)  # type: ignore[arg-type]
 
 
 def expand(claims: Claims, guards: Guards) -> Iterator[Step]:
-    """Return every step from this state."""
+    """Yield every step from this state."""
     word = "goes down" if claims.store_up else "comes back"
     yield f"the store {word}", claims._replace(store_up=not claims.store_up)
     for who, name in enumerate("AB"):
         state = claims.gateways[who]
         if state in ("idle", "declined"):
-            yield f"the caller asks {name}", _set(claims, who, "asking")
+            yield f"the caller asks {name}", _set_state(claims, who, "asking")
         elif state == "asking":
             yield from _write(claims, guards, who, name)
         elif state in ("refused", "unsure"):
@@ -45,28 +45,28 @@
 
 def _write(claims: Claims, guards: Guards, who: int, name: str) -> Iterator[Step]:
     if not claims.store_up:
-        yield f"{name} cannot ask, and declines", _set(claims, who, "declined")
+        yield f"{name} cannot ask, and declines", _set_state(claims, who, "declined")
         return
     free = not claims.owner or "create_claim" not in guards
     if free:
-        yield f"{name} claims the id", _set(claims, who, "mine", owner=name)
+        yield f"{name} claims the id", _set_state(claims, who, "mine", owner=name)
         yield (
             f"{name} claims the id and the answer is lost",
-            _set(claims, who, "unsure", owner=name),
+            _set_state(claims, who, "unsure", owner=name),
         )
     else:
-        yield f"{name} finds a claim", _set(claims, who, "refused")
-        yield f"{name} asks and the answer is lost", _set(claims, who, "unsure")
+        yield f"{name} finds a claim", _set_state(claims, who, "refused")
+        yield f"{name} asks and the answer is lost", _set_state(claims, who, "unsure")
 
 
 def _read_back(claims: Claims, guards: Guards, who: int, name: str) -> Iterator[Step]:
     if claims.store_up:
         mine = claims.owner == name or "read_back_owner" not in guards
         after = "mine" if mine else "theirs"
-        yield f"{name} reads the claim back as {after}", _set(claims, who, after)
+        yield f"{name} reads the claim back as {after}", _set_state(claims, who, after)
         return
     unsure = "declined" if "unsure_declines" in guards else "mine"
-    yield f"{name} cannot read back: {unsure}", _set(claims, who, unsure)
+    yield f"{name} cannot read back: {unsure}", _set_state(claims, who, unsure)
 
 
 CLAIMS = register(
@@ -79,7 +79,7 @@
         invariants={"an id that must run once runs once": lambda c: c.runs < 2},
         guards={
             "create_claim": "a claim is created only if there is none",
-            "read_back_owner": "a claim whose answer was lost is told by its owner",
+            "read_back_owner": "a claim whose answer was lost is matched by its owner",
             "unsure_declines": "a claim that cannot be read back is not taken",
         },
     )
--- a/src/firladder/_internal/model/configuration.py
+++ b/src/firladder/_internal/model/configuration.py
@@ -1,4 +1,4 @@
-"""Two operators who race, three processes, and answers that are lost."""
+"""Model of two concurrent operators, three processes, and lost answers."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Fleet(NamedTuple):
-    """The store's history, what processes have in force, and what operators do.
+    """The store's history, the revisions in force, and the states of the operators.
 
     ``history`` lists who wrote each revision; an operator has read a revision
     (``seen``), and is idle, editing, unsure, or told accepted or refused.
@@ -20,68 +20,79 @@
     operators: tuple[tuple[str, int], ...] = (("idle", 0), ("idle", 0))
     reverted: bool = False
     overwritten: bool = False
-    told_wrong: bool = False
+    misinformed: bool = False
 
 
 def expand(fleet: Fleet, guards: Guards) -> Iterator[Step]:
-    """Return every step from this state."""
+    """Yield every step from this state."""
     for who, name in enumerate("PQ"):
-        yield from _operate(fleet, guards, who, name)
-    yield from _spread(fleet, guards)
+        yield from _expand_operator(fleet, guards, who, name)
+    yield from _expand_adoption(fleet, guards)
 
 
-def _set(fleet: Fleet, who: int, state: str, seen: int) -> Fleet:
+def _set_operator(fleet: Fleet, who: int, state: str, seen: int) -> Fleet:
     pairs = tuple(
         (state, seen) if i == who else o for i, o in enumerate(fleet.operators)
     )
     return fleet._replace(operators=pairs)
 
 
-def _operate(fleet: Fleet, guards: Guards, who: int, name: str) -> Iterator[Step]:
+def _expand_operator(
+    fleet: Fleet, guards: Guards, who: int, name: str
+) -> Iterator[Step]:
     state, seen = fleet.operators[who]
     latest = len(fleet.history)
     if state == "idle":
-        yield f"{name} reads revision {latest}", _set(fleet, who, "editing", latest)
+        yield (
+            f"{name} reads revision {latest}",
+            _set_operator(fleet, who, "editing", latest),
+        )
     elif state == "editing":
-        fits = seen == latest or "compare_head" not in guards
-        if fits and latest < MAX_REVISION:
+        may_write = seen == latest or "compare_head" not in guards
+        if may_write and latest < MAX_REVISION:
             written = fleet._replace(
                 history=(*fleet.history, name),
                 overwritten=fleet.overwritten or seen != latest,
             )
-            yield f"{name}'s change is accepted", _set(written, who, "accepted", seen)
+            yield (
+                f"{name}'s change is accepted",
+                _set_operator(written, who, "accepted", seen),
+            )
             yield (
                 f"{name}'s change is written and its answer lost",
-                _set(written, who, "unsure", seen),
+                _set_operator(written, who, "unsure", seen),
+            )
+        elif not may_write:
+            yield (
+                f"{name} is told of a conflict",
+                _set_operator(fleet, who, "refused", seen),
             )
-        elif not fits:
-            yield f"{name} is told of a conflict", _set(fleet, who, "refused", seen)
     elif state == "unsure":
-        # Only the write id in the value tells the own change from another's.
+        # Only the write id in the value distinguishes the own change from another's.
         mine = fleet.history[seen] == name
         told = mine if "read_back_write_id" in guards else False
-        wrong = fleet.told_wrong or told != mine
-        after = _set(fleet, who, "accepted" if told else "refused", seen)
+        wrong = fleet.misinformed or told != mine
+        after = _set_operator(fleet, who, "accepted" if told else "refused", seen)
         yield (
-            f"{name} looks again and is told {'accepted' if told else 'conflict'}",
-            after._replace(told_wrong=wrong),
+            f"{name} reads back and is told {'accepted' if told else 'conflict'}",
+            after._replace(misinformed=wrong),
         )
 
 
-def _spread(fleet: Fleet, guards: Guards) -> Iterator[Step]:
+def _expand_adoption(fleet: Fleet, guards: Guards) -> Iterator[Step]:
     latest = len(fleet.history)
     for index, mine in enumerate(fleet.in_force):
-        # A watch that lags or an old peer may offer any revision that was.
+        # A lagging watch or an old peer may offer any earlier revision.
         for offered in range(latest + 1):
             if offered == mine or (offered < mine and "adopt_higher_only" in guards):
                 continue
-            force = tuple(
+            revisions = tuple(
                 offered if i == index else r for i, r in enumerate(fleet.in_force)
             )
             yield (
                 f"process {index + 1} adopts revision {offered} after {mine}",
                 fleet._replace(
-                    in_force=force,  # type: ignore[arg-type]
+                    in_force=revisions,  # type: ignore[arg-type]
                     reverted=fleet.reverted or offered < mine,
                 ),
             )
@@ -98,7 +109,7 @@
             "a configuration in force never reverts": lambda f: not f.reverted,
             "no change overwrites one it has not seen": lambda f: not f.overwritten,
             "an operator is told what became of the change": (
-                lambda f: not f.told_wrong
+                lambda f: not f.misinformed
             ),
         },
         guards={
--- a/src/firladder/_internal/model/gangs.py
+++ b/src/firladder/_internal/model/gangs.py
@@ -1,8 +1,8 @@
-"""One gang of two members that must run once, its leader and a successor.
+"""Model of one gang of two members that must run once, under two leaders.
 
-The leaders follow each other under rising epochs; the second may rise while
-the first is paused with a write on its way. Leases are abstract: a short one
-may lapse at any step, a long one once nobody renews it.
+The second leader has a higher epoch and may take over while the first is paused with
+a write in flight. Leases are abstract: a short one may expire at any step, a long one
+once it is not renewed.
 """
 
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 
 
 class Task(NamedTuple):
-    """A member on its worker. ``lease`` is short, long or none."""
+    """A member on its worker; its ``lease`` is short, long or none."""
 
     attempt: int = 0
     state: str = "none"
@@ -26,42 +26,42 @@
 
 
 class Gang(NamedTuple):
-    """The job in the store, its runner and its members on two workers."""
+    """The job in the store, its runner, and its members on two workers."""
 
     job: str = "queued"
     attempt: int = 0
     phase: str = "planned"
     """The state of the leader's gang chart."""
     tries: int = 0
-    """Attempts begun, by whichever leader; names the tasks."""
+    """Attempts begun by any leader; the number identifies the tasks."""
     leader: int = 1
     late_write: bool = False
-    """The former leader's "queue it again" is still on its way."""
+    """The former leader's write that queues the job again is in flight."""
     tasks: tuple[Task, ...] = (Task(), Task())
-    reach: tuple[bool, ...] = (True, True)
+    reachable: tuple[bool, ...] = (True, True)
     started: frozenset[int] = frozenset()
     overlap: bool = False
     partial_long: bool = False
-    stray_renewed: bool = False
-    late_landed: bool = False
+    orphan_renewed: bool = False
+    late_write_applied: bool = False
 
 
-def _fire(gang: Gang, event: str) -> str | None:
-    """Return the next phase by the chart that the real code interprets."""
+def _advance(gang: Gang, event: str) -> str | None:
+    """Return the next phase from the state chart that the real code uses, or None."""
     moved = CHART.advance(gang.phase, event)
     return None if isinstance(moved, IllegalTransition) else moved[0]
 
 
-def _put(tasks: tuple[Task, ...], index: int, task: Task) -> tuple[Task, ...]:
+def _replace_at(tasks: tuple[Task, ...], index: int, task: Task) -> tuple[Task, ...]:
     return (*tasks[:index], task, *tasks[index + 1 :])
 
 
 def expand(gang: Gang, guards: Guards) -> Iterator[Step]:
-    """Return every step from this state."""
+    """Yield every step from this state."""
     yield from _claim(gang, guards)
     for member in MEMBERS:
         yield from _start(gang, guards, member)
-        yield from _lapse(gang, member)
+        yield from _expire(gang, member)
         yield from _stop(gang, member)
         yield from _reconnect(gang, guards, member)
     yield from _confirm(gang, guards)
@@ -71,7 +71,7 @@
 
 
 def _claim(gang: Gang, guards: Guards) -> Iterator[Step]:
-    phase = _fire(gang, "claim")
+    phase = _advance(gang, "claim")
     if gang.job != "queued" or phase is None or gang.tries == MAX_ATTEMPTS:
         return
     begun = gang._replace(tries=gang.tries + 1, phase=phase)
@@ -83,32 +83,34 @@
 
 
 def _start(gang: Gang, guards: Guards, member: int) -> Iterator[Step]:
-    if gang.phase not in ("claimed", "started") or not gang.reach[member]:
+    if gang.phase not in ("claimed", "started") or not gang.reachable[member]:
         return
     if gang.tasks[member].attempt == gang.tries:
         return
     lease = "short" if "short_start_lease" in guards else "long"
     task = Task(gang.tries, "running", lease)
-    beside = [t for t in gang.tasks if t.state == "running" and t.attempt != gang.tries]
+    overlapping = [
+        t for t in gang.tasks if t.state == "running" and t.attempt != gang.tries
+    ]
     yield (
         f"member {member + 1} of attempt {gang.tries} starts",
-        _judge(
+        _check_leases(
             gang._replace(
                 phase="started",
-                tasks=_put(gang.tasks, member, task),
+                tasks=_replace_at(gang.tasks, member, task),
                 started=gang.started | {gang.tries},
-                overlap=gang.overlap or bool(beside),
+                overlap=gang.overlap or bool(overlapping),
             )
         ),
     )
 
 
-def _judge(gang: Gang) -> Gang:
-    """Note a long lease in a gang of which a member has never started."""
+def _check_leases(gang: Gang) -> Gang:
+    """Record a long lease in a gang of which a member has not started."""
     long = {t.attempt for t in gang.tasks if t.lease == "long"}
     partial = any(any(t.attempt != a for t in gang.tasks) for a in long)
-    fresh = gang.phase == "started" and partial
-    return gang._replace(partial_long=gang.partial_long or fresh)
+    newly_partial = gang.phase == "started" and partial
+    return gang._replace(partial_long=gang.partial_long or newly_partial)
 
 
 def _confirm(gang: Gang, guards: Guards) -> Iterator[Step]:
@@ -119,13 +121,13 @@
         return
     tasks = tuple(
         t._replace(lease="long")
-        if t.state == "running" and t.attempt == gang.tries and gang.reach[m]
+        if t.state == "running" and t.attempt == gang.tries and gang.reachable[m]
         else t
         for m, t in enumerate(gang.tasks)
     )
     yield (
         "the leader confirms the gang",
-        _judge(gang._replace(tasks=tasks))._replace(phase="running"),
+        _check_leases(gang._replace(tasks=tasks))._replace(phase="running"),
     )
 
 
@@ -135,53 +137,60 @@
         task = gang.tasks[member]
         given_up = gang.phase == "planned" or task.attempt != gang.tries
         running = task.state == "running" and task.lease == "long"
-        if gang.reach[member] and running and given_up:
+        if gang.reachable[member] and running and given_up:
             yield (
                 f"worker {member + 1} renews a member of a gang that has ended",
-                gang._replace(stray_renewed=True),
+                gang._replace(orphan_renewed=True),
             )
 
 
-def _lapse(gang: Gang, member: int) -> Iterator[Step]:
+def _expire(gang: Gang, member: int) -> Iterator[Step]:
     task = gang.tasks[member]
-    renewed = task.lease == "long" and gang.reach[member] and gang.phase == "running"
+    renewed = (
+        task.lease == "long" and gang.reachable[member] and gang.phase == "running"
+    )
     if task.state == "running" and not renewed:
         ended = task._replace(state="ended", lease="none")
         yield (
-            f"member {member + 1} of attempt {task.attempt} lapses",
-            gang._replace(tasks=_put(gang.tasks, member, ended)),
+            f"the lease on member {member + 1} of attempt {task.attempt} expires",
+            gang._replace(tasks=_replace_at(gang.tasks, member, ended)),
         )
 
 
 def _stop(gang: Gang, member: int) -> Iterator[Step]:
-    if gang.reach[member] and gang.phase == "running":
-        cut = tuple(r and m != member for m, r in enumerate(gang.reach))
-        yield f"worker {member + 1} is cut off", gang._replace(reach=cut)
+    if gang.reachable[member] and gang.phase == "running":
+        reachable_after = tuple(r and m != member for m, r in enumerate(gang.reachable))
+        yield (
+            f"worker {member + 1} becomes unreachable",
+            gang._replace(reachable=reachable_after),
+        )
     task = gang.tasks[member]
-    if gang.phase == "stopping" and gang.reach[member] and task.state == "running":
+    if gang.phase == "stopping" and gang.reachable[member] and task.state == "running":
         ended = task._replace(state="ended", lease="none")
         yield (
             f"member {member + 1} is stopped",
-            gang._replace(tasks=_put(gang.tasks, member, ended)),
+            gang._replace(tasks=_replace_at(gang.tasks, member, ended)),
         )
 
 
 def _reconnect(gang: Gang, guards: Guards, member: int) -> Iterator[Step]:
-    if gang.reach[member]:
+    if gang.reachable[member]:
         return
     task = gang.tasks[member]
-    stray = gang.phase != "running" or task.attempt != gang.tries
-    if stray and task.state == "running" and "stray_stopped_first" in guards:
+    orphan = gang.phase != "running" or task.attempt != gang.tries
+    if orphan and task.state == "running" and "stray_stopped_first" in guards:
         task = task._replace(state="ended", lease="none")
-    whole = tuple(r or m == member for m, r in enumerate(gang.reach))
+    reachable_after = tuple(r or m == member for m, r in enumerate(gang.reachable))
     yield (
-        f"worker {member + 1} is within reach again",
-        gang._replace(reach=whole, tasks=_put(gang.tasks, member, task)),
+        f"worker {member + 1} is reachable again",
+        gang._replace(
+            reachable=reachable_after, tasks=_replace_at(gang.tasks, member, task)
+        ),
     )
 
 
 def _end(gang: Gang, guards: Guards) -> Iterator[Step]:
-    phase = _fire(gang, "stop")
+    phase = _advance(gang, "stop")
     if phase is not None and gang.phase != "claimed":
         yield "the leader ends the gang", gang._replace(phase=phase)
     if gang.phase != "stopping":
@@ -189,7 +198,7 @@
     alive = [
         t
         for m, t in enumerate(gang.tasks)
-        if t.state == "running" and (gang.reach[m] or "outwait_lapse" in guards)
+        if t.state == "running" and (gang.reachable[m] or "outwait_lapse" in guards)
     ]
     if alive:
         return
@@ -203,10 +212,10 @@
 
 
 def _succeed(gang: Gang, guards: Guards) -> Iterator[Step]:
-    """Replace the leader; the successor ends what does not run whole."""
+    """Replace the leader; the successor ends a gang that has not started whole."""
     if gang.leader == 1 and gang.phase != "planned":
         # The former leader may have decided that nothing has started, and be
-        # paused with that write on its way.
+        # paused with that write in flight.
         late = gang.phase == "claimed"
         unwritten = gang.job == "queued"
         yield (
@@ -219,10 +228,10 @@
         )
     if gang.leader == 2 and gang.late_write and "write_compares_leader" not in guards:
         yield (
-            "the write of leader 1 lands late",
+            "the late write of leader 1 is applied",
             gang._replace(
                 late_write=False,
-                late_landed=True,
+                late_write_applied=True,
                 job="queued" if gang.job != "queued" else gang.job,
             ),
         )
@@ -231,7 +240,7 @@
 GANGS = register(
     Specification(
         name="gang",
-        summary="one gang of two that must run once, two leaders, cuts, lapses",
+        summary="one gang of two that must run once, two leaders, partitions, expiry",
         initial=Gang(),
         fields=Gang._fields,
         expand=expand,
@@ -244,17 +253,17 @@
                 lambda g: not g.partial_long
             ),
             "no member is renewed once its gang has ended": (
-                lambda g: not g.stray_renewed
+                lambda g: not g.orphan_renewed
             ),
-            "a former leader's write never lands in its successor's term": (
-                lambda g: not g.late_landed
+            "a former leader's write is never applied in its successor's term": (
+                lambda g: not g.late_write_applied
             ),
         },
         guards={
             "attempt_written": "the attempt is in the store before a member starts",
             "short_start_lease": "a member's lease is short until its gang is whole",
             "confirm_when_whole": "long leases are given when all have started",
-            "stray_stopped_first": "a worker's strays end before it is renewed again",
+            "stray_stopped_first": "orphans on a worker end before it is renewed again",
             "once_stays_once": "a job that must run once is not queued after a start",
             "write_compares_leader": "a job's write compares the leader's own key",
         },
@@ -264,7 +273,7 @@
 RERUN = register(
     Specification(
         name="gang-rerun",
-        summary="the same gang, idempotent: it may start again, but not beside itself",
+        summary="the same gang, idempotent: attempts may follow, but not overlap",
         initial=Gang(),
         fields=Gang._fields,
         expand=lambda gang, guards: expand(
@@ -274,7 +283,7 @@
         invariants={
             "two attempts of a job never run at once": lambda g: not g.overlap,
             "no member is renewed once its gang has ended": (
-                lambda g: not g.stray_renewed
+                lambda g: not g.orphan_renewed
             ),
         },
         guards={
--- a/src/firladder/_internal/model/runs.py
+++ b/src/firladder/_internal/model/runs.py
@@ -1,8 +1,8 @@
-"""One task on the platform: a leader, its successor, two workers, late orders.
+"""Model of one task on the platform, two leaders, two workers, and late orders.
 
-Orders without an answer may be carried out at any later step, also when their
-leader has been succeeded; a leader's write of progress may land late too. A lease
-that lapses is left out: whoever cannot be reached is waited for.
+Orders without an answer may be carried out at any later step, also when their leader
+has been succeeded; a leader's write of progress may be applied late too. The expiry of
+leases is left out: an unreachable worker is waited for.
 """
 
 from collections.abc import Iterator
@@ -12,106 +12,107 @@
 
 MAX_RUNS = 3
 WORKERS = (0, 1)
-NOWHERE = -1
+NO_WORKER = -1
 
 
 class Record(NamedTuple):
-    """What the store holds of the task; ``worker`` is where its run may be."""
+    """The task's record in the store; its run may be on ``worker``."""
 
     run: int = 0
-    worker: int = NOWHERE
+    worker: int = NO_WORKER
     done: bool = False
 
 
 class Worker(NamedTuple):
-    """A worker: the highest token, the task's run, and the runs given up there."""
+    """A worker: its highest token, the active run, and the last run given up."""
 
     token: int = 1
     running: int = 0
     given_up: int = 0
     listed: int = 0
-    """A run whose end is listed and not acknowledged yet."""
+    """A run whose end is reported and not acknowledged yet."""
 
 
 class Task(NamedTuple):
-    """The task as the store, the present leader and the workers have it."""
+    """The task in the store, in the current leader and on the workers."""
 
     leader: int = 1
     record: Record = Record()
     phase: str = "waiting"
-    mind: Record = Record()
-    """What the leader believes; written to the store by a step of its own."""
+    belief: Record = Record()
+    """The leader's view; a separate step writes it to the store."""
     written: bool = True
     workers: tuple[Worker, ...] = (Worker(), Worker())
     late: frozenset[tuple[int, int, int]] = frozenset()
-    """Starts on their way: worker, run, token."""
+    """Starts in flight: worker, run, token."""
     late_write: Record | None = None
     cancelled: bool = False
     knows_cancel: bool = False
     cancelled_before: bool = False
-    """The cancellation was stored before the present leader's term."""
+    """Whether the cancellation was stored before the current leader's term."""
     acknowledged: bool = False
     twice: bool = False
-    again: bool = False
-    uncancelled: bool = False
+    started_after_end: bool = False
+    started_after_cancel: bool = False
 
 
 def expand(task: Task, guards: Guards) -> Iterator[Step]:
-    """Return every step from this state."""
+    """Yield every step from this state."""
     yield from _plan(task, guards)
     yield from _write(task)
     yield from _send(task, guards)
-    yield from _land(task)
-    yield from _give_up(task, guards)
+    yield from _deliver_late_start(task)
+    yield from _resolve_start(task, guards)
     yield from _end(task)
-    yield from _look(task, guards)
+    yield from _poll(task, guards)
     yield from _acknowledge(task, guards)
     yield from _cancel(task)
     yield from _succeed(task, guards)
-    yield from _land_write(task, guards)
+    yield from _deliver_late_write(task, guards)
 
 
-def _put(task: Task, index: int, worker: Worker) -> tuple[Worker, ...]:
+def _replace_worker(task: Task, index: int, worker: Worker) -> tuple[Worker, ...]:
     return tuple(worker if n == index else w for n, w in enumerate(task.workers))
 
 
 def _accept(task: Task, index: int, run: int, token: int) -> Task:
-    """Let a start reach a worker."""
+    """Deliver a start to a worker."""
     worker = task.workers[index]
     if token < worker.token or run <= worker.given_up:
         return task
-    beside = any(w.running for n, w in enumerate(task.workers) if n != index)
+    overlaps = any(w.running for n, w in enumerate(task.workers) if n != index)
     begun = worker._replace(token=token, running=run)
     return task._replace(
-        workers=_put(task, index, begun),
-        twice=task.twice or beside,
-        again=task.again or task.acknowledged,
-        uncancelled=task.uncancelled or (task.cancelled_before and token == 2),
+        workers=_replace_worker(task, index, begun),
+        twice=task.twice or overlaps,
+        started_after_end=task.started_after_end or task.acknowledged,
+        started_after_cancel=task.started_after_cancel
+        or (task.cancelled_before and token == 2),
     )
 
 
 def _plan(task: Task, guards: Guards) -> Iterator[Step]:
-    if task.phase != "waiting" or task.knows_cancel or task.mind.run == MAX_RUNS:
+    if task.phase != "waiting" or task.knows_cancel or task.belief.run == MAX_RUNS:
         return
-    if task.mind.done or not task.written:
+    if task.belief.done or not task.written:
         return
     for index in WORKERS:
-        mind = Record(task.mind.run + 1, index)
+        belief = Record(task.belief.run + 1, index)
         yield (
-            f"leader {task.leader} plans run {mind.run} on worker {index + 1}",
-            task._replace(phase="planned", mind=mind, written=False),
+            f"leader {task.leader} plans run {belief.run} on worker {index + 1}",
+            task._replace(phase="planned", belief=belief, written=False),
         )
 
 
 def _write(task: Task) -> Iterator[Step]:
     if task.written:
         return
-    written = task._replace(record=task.mind, written=True)
+    written = task._replace(record=task.belief, written=True)
     yield f"leader {task.leader} writes its progress", written
     if task.leader == 1 and task.late_write is None:
         yield (
-            "leader 1 writes, and the write is on its way for long",
-            task._replace(late_write=task.mind),
+            "leader 1 writes, and the write is delayed",
+            task._replace(late_write=task.belief),
         )
 
 
@@ -120,7 +121,7 @@
         return
     if "durable_before_start" in guards and not task.written:
         return
-    run, index = task.mind.run, task.mind.worker
+    run, index = task.belief.run, task.belief.worker
     sent = _accept(task, index, run, task.leader)
     yield f"worker {index + 1} begins run {run}", sent._replace(phase="active")
     yield (
@@ -129,12 +130,12 @@
     )
     late = task.late | {(index, run, task.leader)}
     yield (
-        f"the start of run {run} is on its way for long",
+        f"the start of run {run} is delayed",
         task._replace(phase="unknown", late=late),
     )
 
 
-def _land(task: Task) -> Iterator[Step]:
+def _deliver_late_start(task: Task) -> Iterator[Step]:
     for index, run, token in sorted(task.late):
         rest = task._replace(late=task.late - {(index, run, token)})
         yield (
@@ -143,29 +144,29 @@
         )
 
 
-def _give_up(task: Task, guards: Guards) -> Iterator[Step]:
-    """Resolve a start without an answer: stop it, then look."""
+def _resolve_start(task: Task, guards: Guards) -> Iterator[Step]:
+    """Resolve a start without an answer: stop it, then poll the worker."""
     if task.phase != "unknown":
         return
-    run, index = task.mind.run, task.mind.worker
+    run, index = task.belief.run, task.belief.worker
     waiting = task._replace(
-        phase="waiting", mind=task.mind._replace(worker=NOWHERE), written=False
+        phase="waiting", belief=task.belief._replace(worker=NO_WORKER), written=False
     )
     if "stop_before_next" not in guards:
-        yield f"leader {task.leader} takes run {run} for not begun", waiting
+        yield f"leader {task.leader} assumes that run {run} has not started", waiting
         return
     worker = task.workers[index]
     if worker.token > task.leader:
         return
     if worker.listed == run:
-        yield f"a look lists the end of run {run}", task._replace(phase="active")
+        yield f"a poll lists the end of run {run}", task._replace(phase="active")
         return
     stopped = worker._replace(
         token=task.leader, running=0, given_up=max(run, worker.given_up)
     )
     yield (
-        f"run {run} is stopped on worker {index + 1} and not there any more",
-        waiting._replace(workers=_put(task, index, stopped)),
+        f"run {run} is stopped on worker {index + 1} and not listed any more",
+        waiting._replace(workers=_replace_worker(task, index, stopped)),
     )
 
 
@@ -179,35 +180,35 @@
             )
             yield (
                 f"run {worker.running} is done on worker {index + 1}",
-                task._replace(workers=_put(task, index, ended)),
+                task._replace(workers=_replace_worker(task, index, ended)),
             )
 
 
-def _look(task: Task, guards: Guards) -> Iterator[Step]:
+def _poll(task: Task, guards: Guards) -> Iterator[Step]:
     if task.phase == "recovered":
         yield from _recover(task, guards)
     if task.phase != "active":
         return
-    worker = task.workers[task.mind.worker]
-    if worker.listed == task.mind.run and worker.token <= task.leader:
+    worker = task.workers[task.belief.worker]
+    if worker.listed == task.belief.run and worker.token <= task.leader:
         yield (
-            f"leader {task.leader} learns that run {task.mind.run} is done",
+            f"leader {task.leader} learns that run {task.belief.run} is done",
             task._replace(
-                phase="done", mind=task.mind._replace(done=True), written=False
+                phase="done", belief=task.belief._replace(done=True), written=False
             ),
         )
 
 
 def _recover(task: Task, guards: Guards) -> Iterator[Step]:
-    run, index = task.mind.run, task.mind.worker
+    run, index = task.belief.run, task.belief.worker
     waiting = task._replace(
-        phase="waiting", mind=task.mind._replace(worker=NOWHERE), written=False
+        phase="waiting", belief=task.belief._replace(worker=NO_WORKER), written=False
     )
     if "ask_before_next" not in guards:
-        yield f"leader {task.leader} takes run {run} for over", waiting
+        yield f"leader {task.leader} assumes that run {run} has ended", waiting
         return
     worker = task.workers[index]._replace(token=task.leader)
-    asked = _put(task, index, worker)
+    asked = _replace_worker(task, index, worker)
     if run in (worker.running, worker.listed):
         yield (
             f"worker {index + 1} lists run {run}",
@@ -225,14 +226,15 @@
         return
     if "durable_before_acknowledged" in guards and not task.written:
         return
-    index = task.mind.worker
+    index = task.belief.worker
     worker = task.workers[index]
     if worker.token > task.leader:
         return
     yield (
-        f"leader {task.leader} acknowledges the end of run {task.mind.run}",
+        f"leader {task.leader} acknowledges the end of run {task.belief.run}",
         task._replace(
-            acknowledged=True, workers=_put(task, index, worker._replace(listed=0))
+            acknowledged=True,
+            workers=_replace_worker(task, index, worker._replace(listed=0)),
         ),
     )
 
@@ -252,9 +254,9 @@
         return
     late = task.late
     if task.phase == "planned" and task.written:
-        # The former leader may send what it had just made durable.
-        late = late | {(task.mind.worker, task.mind.run, 1)}
-    placed = task.record.worker != NOWHERE
+        # The former leader may still send the start that it has just made durable.
+        late = late | {(task.belief.worker, task.belief.run, 1)}
+    placed = task.record.worker != NO_WORKER
     phase = "done" if task.record.done else "recovered" if placed else "waiting"
     reads_cancel = "cancel_read_first" in guards
     yield (
@@ -262,7 +264,7 @@
         task._replace(
             leader=2,
             phase=phase,
-            mind=task.record,
+            belief=task.record,
             written=True,
             late=late,
             knows_cancel=task.cancelled and reads_cancel,
@@ -271,16 +273,16 @@
     )
 
 
-def _land_write(task: Task, guards: Guards) -> Iterator[Step]:
+def _deliver_late_write(task: Task, guards: Guards) -> Iterator[Step]:
     late = task.late_write
     if late is None or task.leader == 1:
         return
     landed = task._replace(late_write=None)
     if "leader_compared" not in guards:
         landed = landed._replace(record=late)
-        if task.written and not task.mind.done:
-            # The successor reads it where it has nothing of its own to write.
-            landed = landed._replace(mind=late, phase="waiting")
+        if task.written and not task.belief.done:
+            # The successor adopts it if it has nothing of its own to write.
+            landed = landed._replace(belief=late, phase="waiting")
     yield "the former leader's write arrives", landed
 
 
@@ -292,10 +294,12 @@
         fields=Task._fields,
         expand=expand,
         invariants={
-            "two runs of a task are never at work at once": lambda t: not t.twice,
-            "nothing starts after an acknowledged end": lambda t: not t.again,
-            "no successor starts what was cancelled before it": (
-                lambda t: not t.uncancelled
+            "two runs of a task are never active at once": lambda t: not t.twice,
+            "nothing starts after an acknowledged end": lambda t: (
+                not t.started_after_end
+            ),
+            "no successor starts a task that was cancelled before its term": (
+                lambda t: not t.started_after_cancel
             ),
         },
         guards={
--- a/src/firladder/_internal/model/specification.py
+++ b/src/firladder/_internal/model/specification.py
@@ -1,8 +1,8 @@
-"""Specifications by name, and how one is checked.
+"""Registry of specifications, and the check of one of them.
 
-A specification names the guards of the real code. Without a guard the steps
-that it refuses are taken, and the checker must find an invariant broken: a
-model that cannot fail proves nothing.
+A specification names the guards of the real code. If a guard is removed, the steps
+that it rejects become possible, and the checker must find a broken invariant: a model
+that cannot fail proves nothing.
 """
 
 import dataclasses
@@ -16,14 +16,14 @@
 Guards = frozenset[str]
 
 MAX_STATES = 400_000
-"""The checker refuses a larger space instead of passing a part of it."""
+"""The checker rejects a larger state space instead of a partial search."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Specification:
-    """One subject of the protocol as states, steps and invariants.
+    """One part of the protocol as states, steps and invariants.
 
-    ``expand`` returns the steps from a state under the given guards;
+    ``expand`` yields the steps from a state under the given guards;
     ``guards`` maps each guard to what it prevents.
     """
 
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What the checker found. ``trace`` is a shortest way to a broken invariant."""
+    """The result of a check; ``trace`` is a shortest path to a broken invariant."""
 
     specification: str
     without: str
@@ -82,15 +82,15 @@
         nonlocal failed
         failed = failed or not all(p(state) for p in specification.invariants.values())
         if failed:
-            # The search is breadth first: nothing further on is nearer.
+            # The search is breadth-first: no later state is closer.
             return []
         steps = list(specification.expand(state, guards))
         for _, after in steps:
-            # The search is breadth first, so the first sight is the nearest.
+            # The search is breadth-first, so the first path found is a shortest.
             depths.setdefault(after, depths[state] + 1)
         return steps
 
-    found = check_safety(
+    result = check_safety(
         Protocol(
             name=specification.name,
             candidate=False,
@@ -98,7 +98,7 @@
             initial=specification.initial,
             transitions=expand,
             invariants={
-                name: _on_state(type(specification.initial), predicate)
+                name: _adapt_predicate(type(specification.initial), predicate)
                 for name, predicate in specification.invariants.items()
             },
         ),
@@ -106,22 +106,22 @@
     )
     broken = {
         name: property_["counterexample"]
-        for name, property_ in found["properties"].items()
+        for name, property_ in result["properties"].items()
         if property_["counterexample"]
     }
     name = min(broken, key=lambda n: len(broken[n]), default="")
     return Verdict(
         specification.name,
         without,
-        found["reachable_states"],
+        result["reachable_states"],
         max(depths.values()),
-        found["exhaustive"],
+        result["exhaustive"],
         name,
         tuple(step["label"] for step in broken[name][1:]) if name else (),
     )
 
 
-def _on_state(
+def _adapt_predicate(
     shape: Any, predicate: Callable[[Any], bool]
 ) -> Callable[[dict[str, Any]], bool]:
     return lambda fields: predicate(shape(**fields))
