--- a/src/firladder/_internal/measure/__init__.py
+++ b/src/firladder/_internal/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measure what one more of something costs, and work capacity out from it."""
+"""Marginal costs of workers, tasks and teams, and the capacity they give."""
--- a/src/firladder/_internal/measure/capacity.py
+++ b/src/firladder/_internal/measure/capacity.py
@@ -1,34 +1,37 @@
-"""Work out what each role costs at a given size, from measured slopes."""
+"""Compute the load on each role at a given fleet size from measured slopes."""
 
 from collections.abc import Iterable, Mapping
 
-from .figures import Figure, Term
+from .figures import Figure, FigureTerm
 from .series import Series
 from .size import Size
 
 DAY_S = 86_400.0
 
-PASSES_A_SECOND = 1 / 0.3
-"""Placement passes of a quiet leader: a pause of 0.25 s and a spacing of 0.05 s."""
+PASSES_PER_S = 1 / 0.3
+"""Placement passes of an idle leader: a pause of 0.25 s and a spacing of 0.05 s."""
 
 
-def _cost_change(size: Size) -> Term:
-    """Return the processor time of all configuration changes, in ms a second."""
-    return Term(
-        "configuration.cpu.teams", size.teams, size.changes_a_day / DAY_S, whole=True
+def _make_change_term(size: Size) -> FigureTerm:
+    """Return the processor time of configuration changes, in ms per second."""
+    return FigureTerm(
+        "configuration.cpu.teams",
+        size.teams,
+        size.changes_per_day / DAY_S,
+        with_intercept=True,
     )
 
 
-def list_leader(size: Size) -> Iterable[Figure]:
+def list_leader_figures(size: Size) -> Iterable[Figure]:
     """Yield the figures of a scheduler that leads a failure domain."""
     workers, tasks = size.domain_workers, size.domain_tasks
-    jobs_a_second = size.jobs_a_day / size.domains / DAY_S
-    kept = size.jobs_a_day * size.job_days_kept
+    jobs_per_s = size.jobs_per_day / size.domains / DAY_S
+    kept_jobs = size.jobs_per_day * size.job_days_kept
     yield Figure(
         "leader",
         "processor, workers and heartbeats",
         "ms/s",
-        (Term("leader.cpu.workers", workers, whole=True),),
+        (FigureTerm("leader.cpu.workers", workers, with_intercept=True),),
         "one long poll and one lease renewal a worker; 3.3 passes a second",
         43,
         "polls of quiet workers, each 5 s",
@@ -37,7 +40,7 @@
         "leader",
         "processor, running tasks",
         "ms/s",
-        (Term("pass.cpu.tasks", tasks, PASSES_A_SECOND),),
+        (FigureTerm("pass.cpu.tasks", tasks, PASSES_PER_S),),
         "each pass builds its view from all workers and members",
         43,
         "passes while nothing has changed",
@@ -46,7 +49,7 @@
         "leader",
         "processor, passes with every team's shape",
         "ms/s",
-        (Term("pass.cpu.teams", size.teams, PASSES_A_SECOND, whole=True),),
+        (FigureTerm("pass.cpu.teams", size.teams, PASSES_PER_S, with_intercept=True),),
         "each pass places all guaranteed cells again",
         43,
         "passes while nothing has changed",
@@ -55,7 +58,7 @@
         "leader",
         "processor, jobs through their lives",
         "ms/s",
-        (Term("gang.cpu.members", size.mean_gang, jobs_a_second),),
+        (FigureTerm("gang.cpu.members", size.mean_gang, jobs_per_s),),
         "reserve, start and confirm: three calls a member",
         43,
         "bursts: see the largest gang",
@@ -64,7 +67,7 @@
         "leader",
         "processor, configuration changes",
         "ms/s",
-        (_cost_change(size),),
+        (_make_change_term(size),),
         "each change reads all rows again",
         43,
     )
@@ -73,10 +76,10 @@
         "memory, without finished jobs",
         "KB",
         (
-            Term("leader.memory.workers", workers, whole=True),
-            Term("leader.memory.tasks", tasks),
-            Term("restart.memory.rows", size.rows),
-            Term("configuration.memory.teams", size.teams),
+            FigureTerm("leader.memory.workers", workers, with_intercept=True),
+            FigureTerm("leader.memory.tasks", tasks),
+            FigureTerm("restart.memory.rows", size.rows),
+            FigureTerm("configuration.memory.teams", size.teams),
         ),
         "books, connections to workers, VM list, configuration",
         64 * 1024,
@@ -86,7 +89,7 @@
         "leader",
         f"memory, jobs of {size.job_days_kept} days",
         "KB",
-        (Term("ledger.memory.jobs", kept),),
+        (FigureTerm("ledger.memory.jobs", kept_jobs),),
         "the mirror of `jobs/` holds all failure domains' jobs",
         64 * 1024,
         "finished jobs are never removed",
@@ -95,7 +98,7 @@
         "leader",
         "bytes to and from workers",
         "bytes/s",
-        (Term("leader.bytes.workers", workers, whole=True),),
+        (FigureTerm("leader.bytes.workers", workers, with_intercept=True),),
         "HTTP long polls: headers outweigh what they carry",
         15_000,
         "an empty poll each 5 s and a renewal each 7.5 s a worker",
@@ -104,14 +107,14 @@
         "leader",
         "store calls",
         "calls/s",
-        (Term("leader.calls.workers", workers, whole=True),),
+        (FigureTerm("leader.calls.workers", workers, with_intercept=True),),
         "lease renewal each third of the lease; three watches",
     )
     yield Figure(
         "leader",
         "largest gang, submission to running",
         "s",
-        (Term("gang.start_s.members", size.largest_gang, whole=True),),
+        (FigureTerm("gang.start_s.members", size.largest_gang, with_intercept=True),),
         "all members reserved at once, then all started at once",
         7.7,
         "room must be free; reclaiming adds the stop grace of 5 s",
@@ -120,39 +123,47 @@
         "leader",
         "largest gang, processor of its life",
         "ms",
-        (Term("gang.cpu.members", size.largest_gang, whole=True),),
+        (FigureTerm("gang.cpu.members", size.largest_gang, with_intercept=True),),
         "a burst of gangs queues behind one core",
     )
     yield Figure(
         "leader",
         "takeover after a leader is killed",
         "s",
-        (Term("leader.takeover_s.workers", workers, whole=True),),
+        (FigureTerm("leader.takeover_s.workers", workers, with_intercept=True),),
         "the lease of 5 s ends, then every worker is claimed in parallel",
         None,
         "the lease, not the workers",
     )
 
 
-def list_others(size: Size) -> Iterable[Figure]:
+def list_other_figures(size: Size) -> Iterable[Figure]:
     """Yield the figures of the standby, the gateway, the VM and the store."""
-    standby_cpu = Term("leader.standby_cpu.workers", size.domain_workers, whole=True)
-    standby_kb = Term("leader.standby_memory.workers", size.domain_workers, whole=True)
-    gateway_cpu = Term("gateway.cpu.processes", size.heard, whole=True)
+    standby_cpu = FigureTerm(
+        "leader.standby_cpu.workers", size.domain_workers, with_intercept=True
+    )
+    standby_kb = FigureTerm(
+        "leader.standby_memory.workers", size.domain_workers, with_intercept=True
+    )
+    gateway_cpu = FigureTerm(
+        "gateway.cpu.processes", size.heartbeat_peers, with_intercept=True
+    )
     common_kb = (
-        Term("restart.memory.rows", size.rows),
-        Term("configuration.memory.teams", size.teams),
+        FigureTerm("restart.memory.rows", size.rows),
+        FigureTerm("configuration.memory.teams", size.teams),
     )
     gateway_kb = (
-        Term("gateway.memory.processes", size.heard, whole=True),
-        Term("gateway.memory.processes", size.processes - size.heard),
+        FigureTerm(
+            "gateway.memory.processes", size.heartbeat_peers, with_intercept=True
+        ),
+        FigureTerm("gateway.memory.processes", size.processes - size.heartbeat_peers),
         *common_kb,
     )
     yield Figure(
         "standby scheduler",
         "processor",
         "ms/s",
-        (standby_cpu, _cost_change(size)),
+        (standby_cpu, _make_change_term(size)),
         "heartbeats; a look at the leader's key each third of the lease",
         43,
     )
@@ -168,7 +179,7 @@
         "gateway",
         "processor, control alone",
         "ms/s",
-        (gateway_cpu, _cost_change(size)),
+        (gateway_cpu, _make_change_term(size)),
         "heartbeats to its own failure domain and two far daemons",
         43,
         "daemons in one failure domain",
@@ -177,7 +188,7 @@
         "gateway",
         "processor of one request",
         "ms",
-        (Term("gateway.cpu.requests", 1),),
+        (FigureTerm("gateway.cpu.requests", 1),),
         "parse, admit, queue, forward, answer",
         None,
         "one core answers 1000 / this a second",
@@ -186,7 +197,7 @@
         "gateway",
         "steering of one request",
         "ms",
-        (Term("steering.cpu.rules", size.teams, whole=True),),
+        (FigureTerm("steering.cpu.rules", size.teams, with_intercept=True),),
         "rules are tried in their order",
         None,
         "rules; an index over labels would end it",
@@ -203,7 +214,7 @@
         "gateway",
         "memory of 512 waiting callers",
         "KB",
-        (Term("gateway.memory.waiting", 512),),
+        (FigureTerm("gateway.memory.waiting", 512),),
         "each holds its connection and its body",
         None,
         "connections: 512 a listener",
@@ -212,7 +223,11 @@
         "gateway",
         "bytes between daemons",
         "bytes/s",
-        (Term("gateway.fabric.processes", size.heard, whole=True),),
+        (
+            FigureTerm(
+                "gateway.fabric.processes", size.heartbeat_peers, with_intercept=True
+            ),
+        ),
         "heartbeats each second, both ways",
         15_000,
         "daemons in one failure domain",
@@ -221,7 +236,7 @@
         "gateway",
         "start until ready",
         "s",
-        (Term("restart.ready_s.rows", size.rows, whole=True),),
+        (FigureTerm("restart.ready_s.rows", size.rows, with_intercept=True),),
         "two reads of the store: configuration and VM list",
         None,
         "the interpreter's own start",
@@ -230,7 +245,7 @@
         "entry VM",
         "processor, its two daemons, standby",
         "ms/s",
-        (gateway_cpu, standby_cpu, _cost_change(size), _cost_change(size)),
+        (gateway_cpu, standby_cpu, _make_change_term(size), _make_change_term(size)),
         "as above",
     )
     yield Figure(
@@ -240,18 +255,18 @@
         (*gateway_kb, standby_kb, *common_kb),
         "as above",
     )
-    yield from _list_store(size)
+    yield from _list_store_figures(size)
 
 
-def _list_store(size: Size) -> Iterable[Figure]:
-    jobs_a_second = size.jobs_a_day / DAY_S
-    # Standbys alone read while nothing happens: one failure domain's slope
-    # counts its processes, so all of them count once.
+def _list_store_figures(size: Size) -> Iterable[Figure]:
+    jobs_per_s = size.jobs_per_day / DAY_S
+    # Only standbys read while the fleet is idle. The slope is per process of one
+    # failure domain, so each process of the fleet counts once.
     yield Figure(
         "store",
         "reads, all callers",
         "calls/s",
-        (Term("store.reads.processes", size.processes),),
+        (FigureTerm("store.reads.processes", size.processes),),
         "standbys look whether a leader's key is gone",
         2000,
     )
@@ -259,7 +274,7 @@
         "store",
         "writes, leases",
         "calls/s",
-        (Term("leader.calls.workers", 0, size.domains, whole=True),),
+        (FigureTerm("leader.calls.workers", 0, size.domains, with_intercept=True),),
         "one renewal a leader each third of its lease",
         300,
     )
@@ -267,7 +282,11 @@
         "store",
         "writes, jobs",
         "calls/s",
-        (Term("gang.calls.members", size.mean_gang, jobs_a_second, whole=True),),
+        (
+            FigureTerm(
+                "gang.calls.members", size.mean_gang, jobs_per_s, with_intercept=True
+            ),
+        ),
         "accepted, starting, running, finished",
         300,
         "one write a request id that is no ticket comes on top",
@@ -277,8 +296,8 @@
         "watches that wait",
         "watches",
         (
-            Term("store.watches.processes", size.processes),
-            Term("store.watches.processes", 0, size.domains, whole=True),
+            FigureTerm("store.watches.processes", size.processes),
+            FigureTerm("store.watches.processes", 0, size.domains, with_intercept=True),
         ),
         "two a daemon, and one a leader for jobs",
         None,
@@ -288,8 +307,8 @@
         "store",
         "bytes of one whole reload of the configuration",
         "KB",
-        (Term("configuration.bytes.teams", size.teams, whole=True),),
-        f"{size.replaced_a_day} replaced VMs a day, two daemons each",
+        (FigureTerm("configuration.bytes.teams", size.teams, with_intercept=True),),
+        f"{size.replaced_per_day} replaced VMs a day, two daemons each",
         1024,
         "one megabyte a value does not bind: each part is its own key",
     )
@@ -297,20 +316,20 @@
         "store",
         "bytes of the largest job's record",
         "KB",
-        (Term("job.bytes.members", size.largest_gang, whole=True),),
+        (FigureTerm("job.bytes.members", size.largest_gang, with_intercept=True),),
         "members are kept in the job's record",
         1024,
     )
 
 
-HEAD = (
+HEADER = (
     "| role | what | at the target size | limit | worked out from | mechanism "
     "| breaks first |\n| --- | --- | --- | --- | --- | --- | --- |\n"
 )
 
 
 def format_capacity(series: Mapping[str, Series], size: Size | None = None) -> str:
-    """Return the page's table of figures."""
+    """Return the figures of the capacity page as a Markdown table."""
     size = size or Size()
-    figures = (*list_leader(size), *list_others(size))
-    return HEAD + "".join(figure.format(series) for figure in figures)
+    figures = (*list_leader_figures(size), *list_other_figures(size))
+    return HEADER + "".join(figure.format(series) for figure in figures)
--- a/src/firladder/_internal/measure/decisions.py
+++ b/src/firladder/_internal/measure/decisions.py
@@ -1,4 +1,4 @@
-"""Measure the pure decisions and the memory of plain data, in this process."""
+"""Measure the time of decisions and the memory of their data in this process."""
 
 import functools
 import itertools
@@ -23,7 +23,7 @@
 from ..utils.codec import encode_json
 from .series import Series
 
-GANG = 128
+GANG_SIZE = 128
 REPEATS = 5
 
 DOMAIN = "d-1"
@@ -34,7 +34,7 @@
 
 
 def make_machines(count: int) -> list[Machine]:
-    """Return workers of two accelerators, the letter's mean, 16 to a rack."""
+    """Return workers with two accelerators, the target fleet's mean, 16 per rack."""
     return [
         Machine(
             name=f"worker-{n}",
@@ -78,7 +78,7 @@
 
 
 def make_configuration(teams: int) -> Configuration:
-    """Return a configuration with a shape, a rule and a label row a team."""
+    """Return a configuration with a shape, a rule and a label row per team."""
     return Configuration(
         1,
         {f"team-{n}": Organisation((Cell(DOMAIN, 1, 1),)) for n in range(teams)},
@@ -88,18 +88,20 @@
 
 
 def fill_accounting(workers: int, tasks: int) -> Accounting:
-    """Return a leader's books with all workers claimed and gangs running."""
+    """Return a leader's accounting with all workers claimed and gangs running."""
     machines = make_machines(workers)
     accounting = Accounting(DOMAIN)
     accounting.update_machines(machines)
-    sizes = [GANG] * (tasks // GANG) + [tasks % GANG] * bool(tasks % GANG)
+    sizes = [GANG_SIZE] * (tasks // GANG_SIZE) + [tasks % GANG_SIZE] * bool(
+        tasks % GANG_SIZE
+    )
     jobs = [make_job(n, machines, size) for n, size in enumerate(sizes)]
-    held: dict[str, list[TaskStatus]] = {m.name: [] for m in machines}
+    tasks_by_worker: dict[str, list[TaskStatus]] = {m.name: [] for m in machines}
     for job in jobs:
         accounting.gangs[job.spec.id] = GangState(job, job.members, 0.0)
         for member in job.members:
-            held[member.worker].append(_describe_task(job, member))
-    for name, statuses in held.items():
+            tasks_by_worker[member.worker].append(_describe_task(job, member))
+    for name, statuses in tasks_by_worker.items():
         report = TaskReport(worker=name, epoch=1, sequence=1, tasks=tuple(statuses))
         accounting.apply_report(name, report, 0.0)
         accounting.workers[name].claimed = True
@@ -121,21 +123,21 @@
 
 
 def time_call(call: Callable[[], Any]) -> float:
-    """Return the least processor time of a few runs, in milliseconds.
+    """Return the minimum processor time of a few calls, in milliseconds.
 
-    The least is what the code costs; everything above it is other work on the
-    same machine.
+    Other work on the machine only adds to the time, so the minimum is closest to the
+    cost of the code.
     """
-    spent = []
+    times_ms = []
     for _ in range(REPEATS):
         started = time.process_time_ns()
         call()
-        spent.append((time.process_time_ns() - started) / 1e6)
-    return min(spent)
+        times_ms.append((time.process_time_ns() - started) / 1e6)
+    return min(times_ms)
 
 
-def weigh(build: Callable[[], Any]) -> float:
-    """Return the kilobytes that stay allocated for what ``build`` returns."""
+def measure_memory_kb(build: Callable[[], Any]) -> float:
+    """Return the memory that the result of ``build`` holds, in kilobytes."""
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
@@ -167,14 +169,19 @@
 
 
 def measure_passes() -> Iterable[Series]:
-    """Measure a placement pass against workers, tasks and teams."""
-    few = make_configuration(1)
+    """Measure a placement pass for numbers of workers, tasks and teams."""
+    one_team = make_configuration(1)
     yield Series(
         name="pass.cpu.workers",
         per="worker",
         unit="ms",
         points=tuple(
-            (n, time_call(functools.partial(_run_pass, fill_accounting(n, 1024), few)))
+            (
+                n,
+                time_call(
+                    functools.partial(_run_pass, fill_accounting(n, 1024), one_team)
+                ),
+            )
             for n in (50, 100, 150, 217)
         ),
         note="view and the default policy with 1,024 running tasks and an empty queue",
@@ -184,7 +191,12 @@
         per="task",
         unit="ms",
         points=tuple(
-            (n, time_call(functools.partial(_run_pass, fill_accounting(217, n), few)))
+            (
+                n,
+                time_call(
+                    functools.partial(_run_pass, fill_accounting(217, n), one_team)
+                ),
+            )
             for n in (0, 800, 1600, 2400, 3200)
         ),
         note="view and the default policy on 217 workers",
@@ -222,7 +234,7 @@
 
 
 def measure_configuration() -> Iterable[Series]:
-    """Measure a change, a lookup and the memory against the teams."""
+    """Measure a change, a rule lookup and the memory for numbers of teams."""
     sizes = (50, 100, 150, 200)
     entries = {n: _encode_entries(make_configuration(n)) for n in sizes}
     yield Series(
@@ -253,7 +265,7 @@
         per="team",
         unit="KB",
         points=tuple(
-            (n, weigh(functools.partial(read_configuration, rows)))
+            (n, measure_memory_kb(functools.partial(read_configuration, rows)))
             for n, rows in entries.items()
         ),
         note="decoded; the mirror keeps the encoded rows besides",
@@ -271,13 +283,13 @@
 
 
 def measure_memory() -> Iterable[Series]:
-    """Measure a leader's memory against workers, tasks and jobs."""
+    """Measure a leader's memory for numbers of workers, tasks and jobs."""
     yield Series(
         name="books.memory.workers",
         per="worker",
         unit="KB",
         points=tuple(
-            (n, weigh(functools.partial(fill_accounting, n, 0)))
+            (n, measure_memory_kb(functools.partial(fill_accounting, n, 0)))
             for n in (50, 100, 150, 217)
         ),
     )
@@ -286,7 +298,7 @@
         per="task",
         unit="KB",
         points=tuple(
-            (n, weigh(functools.partial(fill_accounting, 217, n)))
+            (n, measure_memory_kb(functools.partial(fill_accounting, 217, n)))
             for n in (0, 800, 1600, 3200)
         ),
         note="task in the gang's record and in its worker's row",
@@ -298,10 +310,10 @@
         per="job",
         unit="KB",
         points=tuple(
-            (n, weigh(functools.partial(_keep_jobs, rows[:n])))
+            (n, measure_memory_kb(functools.partial(_mirror_jobs, rows[:n])))
             for n in (100, 300, 600, 830)
         ),
-        note="23 members, the letter's mean; entry of the mirror and decoded record",
+        note="23 members, the target fleet's mean; mirror entry and decoded record",
     )
     yield Series(
         name="job.bytes.members",
@@ -315,7 +327,7 @@
     )
 
 
-def _keep_jobs(rows: Iterable[bytes]) -> list[tuple[Entry, JobRecord]]:
+def _mirror_jobs(rows: Iterable[bytes]) -> list[tuple[Entry, JobRecord]]:
     return [
         (
             Entry(f"jobs/{number}", bytes(bytearray(row)), number + 1),
@@ -326,10 +338,10 @@
 
 
 def measure_messages() -> Iterable[Series]:
-    """Measure a heartbeat's bytes and codec time against gossiped addresses."""
+    """Measure a heartbeat's bytes and codec time for numbers of addresses."""
 
-    def beat(addresses: int) -> bytes:
-        me = Identity(
+    def encode_heartbeat(addresses: int) -> bytes:
+        identity = Identity(
             vm="bern-halle-1",
             role="gateway",
             failure_domain="bern-halle",
@@ -339,7 +351,7 @@
         )
         peers = tuple(f"10.11.12.{n}:7000" for n in range(addresses))
         body = Heartbeat(
-            identity=me, revision=3400, demand={"planwerk": 12}, peers=peers
+            identity=identity, revision=3400, demand={"planwerk": 12}, peers=peers
         )
         sender = "bern-halle-1/gateway/0123456789ab"
         message = Envelope(
@@ -352,13 +364,13 @@
         name="heartbeat.bytes.addresses",
         per="gossiped address",
         unit="bytes",
-        points=tuple((n, float(len(beat(n)))) for n in sizes),
+        points=tuple((n, float(len(encode_heartbeat(n)))) for n in sizes),
     )
     decoder = msgspec.msgpack.Decoder(Envelope)
 
-    def carry(addresses: int) -> None:
+    def run_codec(addresses: int) -> None:
         for _ in range(200):
-            decoder.decode(beat(addresses))
+            decoder.decode(encode_heartbeat(addresses))
 
     yield Series(
         name="heartbeat.cpu.addresses",
@@ -367,7 +379,7 @@
         points=tuple(
             (
                 n,
-                time_call(functools.partial(carry, n)) / 200,
+                time_call(functools.partial(run_codec, n)) / 200,
             )
             for n in sizes
         ),
--- a/src/firladder/_internal/measure/series.py
+++ b/src/firladder/_internal/measure/series.py
@@ -35,7 +35,7 @@
 
 
 def write_series(path: Path, fresh: Iterable[Series]) -> None:
-    """Put series into a file, in place of older ones of the same name."""
+    """Write series to a file, replacing those of the same name."""
     kept = read_series(path) | {series.name: series for series in fresh}
     raw = msgspec.json.encode([kept[name] for name in sorted(kept)])
     path.write_bytes(msgspec.json.format(raw, indent=1) + b"\n")
@@ -55,6 +55,6 @@
     points = ", ".join(f"{x:g}: {y:.4g}" for x, y in series.points)
     return (
         f"| `{series.name}` | {fit.slope:.4g} {series.unit} per {series.per} "
-        f"| ±{fit.slope_error:.2g} | {fit.intercept:.4g} | {fit.worst:.0%} "
+        f"| ±{fit.slope_error:.2g} | {fit.intercept:.4g} | {fit.worst_residual:.0%} "
         f"| {points} |\n"
     )
