--- a/features/protocol_model.feature
+++ b/features/protocol_model.feature
@@ -6,13 +6,13 @@
     And each search was complete, and its states and depth are printed
     And every protocol guard has a scenario
 
-  Scenario Outline: Without <guard> the protocol breaks, and the code has it
-    Take one guard away, and the checker finds a shortest way to what a user
-    would notice: a job run twice, a gang in part, a change undone. The same
-    step is then tried on the real code, which must refuse it.
+  Scenario Outline: Without <guard> the protocol breaks, and the real code has the guard
+    With one guard removed, the checker must find a shortest trace to a failure that a
+    user would notice: a job run twice, a gang started in part, a change undone. The
+    step is then tried on the real code, which must reject it.
     When the protocol guard "<guard>" is removed from its specification
     Then a shortest counterexample of <steps> protocol steps is printed
-    And the real code refuses the step that "<guard>" is there for
+    And the real code rejects the step that "<guard>" prevents
 
     Examples: Leadership
       | guard            | steps |
--- a/features/steps/jobs_evaluation_steps.py
+++ b/features/steps/jobs_evaluation_steps.py
@@ -4,7 +4,7 @@
 
 
 class EvaluationCheck:
-    """Two policies over one load, with the same seeds, side by side."""
+    """The outcomes of two policies under one load, with the same seeds."""
 
     def __init__(self, load: str, policies: tuple[str, str], seeds: list[int]) -> None:
         self.outcomes: dict[str, Outcome] = {
@@ -12,8 +12,8 @@
             for policy in policies
         }
 
-    def divide(self, field: str, policy: str, baseline: str) -> float:
-        """Return how the policy's figure stands to the baseline's."""
+    def compute_ratio(self, field: str, policy: str, baseline: str) -> float:
+        """Return the ratio of the policy's value to the baseline's."""
         ours, theirs = (getattr(self.outcomes[p], field) for p in (policy, baseline))
         return float(ours) / float(theirs)
 
@@ -28,10 +28,10 @@
     context.beside = EvaluationCheck(load, (first, second), [1, 2])
 
 
-@then('no reclaim failed under "{policy}", of at least {least:d}')
-def check_failures(context, policy, least):
+@then('no reclaim failed under "{policy}", of at least {minimum:d}')
+def check_failures(context, policy, minimum):
     outcome = context.evaluation.outcomes[policy]
-    assert outcome.reclaims >= least, outcome
+    assert outcome.reclaims >= minimum, outcome
     assert outcome.failures == 0, outcome
 
 
@@ -41,12 +41,12 @@
 
 
 @then(
-    'the large median wait under "{policy}" is at most {part:f} times '
+    'the large median wait under "{policy}" is at most {factor:f} times '
     'that of "{baseline}"'
 )
-def check_median(context, policy, part, baseline):
-    ratio = context.evaluation.divide("large_wait_p50", policy, baseline)
-    assert ratio <= part, ratio
+def check_median(context, policy, factor, baseline):
+    ratio = context.evaluation.compute_ratio("large_wait_p50", policy, baseline)
+    assert ratio <= factor, ratio
 
 
 @then('every job is done under "{policy}"')
@@ -58,11 +58,11 @@
     "large waits are at most {wait:f} of EASY's, small medians {small:f}, "
     "and lost work {lost:f}"
 )
-def check_bars(context, wait, small, lost):
+def check_bounds(context, wait, small, lost):
     mixed, reclaim = context.evaluation, context.beside
-    found = (
-        mixed.divide("large_wait_p95", "cells", "easy_backfill"),
-        mixed.divide("small_p50", "cells", "easy_backfill"),
-        reclaim.divide("lost", "cells", "youngest_first"),
+    ratios = (
+        mixed.compute_ratio("large_wait_p95", "cells", "easy_backfill"),
+        mixed.compute_ratio("small_p50", "cells", "easy_backfill"),
+        reclaim.compute_ratio("lost", "cells", "youngest_first"),
     )
-    assert found[0] <= wait and found[1] <= small and found[2] <= lost, found
+    assert ratios[0] <= wait and ratios[1] <= small and ratios[2] <= lost, ratios
--- a/features/steps/protocol_model_steps.py
+++ b/features/steps/protocol_model_steps.py
@@ -54,7 +54,7 @@
 
 
 def replay(guard):
-    """Register the real code's answer to the step that a guard refuses."""
+    """Register a check that the real code rejects the step that a guard prevents."""
 
     def add(function):
         REPLAYS[guard] = function
@@ -64,7 +64,7 @@
 
 
 class LeadershipReplays:
-    """Leadership's steps on the real election, clock check and fencing."""
+    """The steps of leadership on the real election, clock check and fencing."""
 
     @replay("worker_fencing")
     async def fence(self):
@@ -128,17 +128,17 @@
 
 
 class GangReplays:
-    """The gang's steps on the real runner, ledger and books."""
+    """The steps of a gang on the real runner, ledger and accounting."""
 
     @staticmethod
-    async def begin(**spec):
+    async def make_elected_bench(**spec):
         bench = GangBench(**spec)
         await bench.elect()
         return bench
 
     @replay("attempt_written")
     async def write_first(self):
-        bench = await self.begin()
+        bench = await self.make_elected_bench()
         bench.workers.refuse["reserve", "w0"] = UNREACHABLE
         await bench.runner.start()
         seen = bench.workers.job_at["reserve"]
@@ -146,25 +146,25 @@
 
     @replay("short_start_lease")
     async def start_short(self):
-        bench = await self.begin()
+        bench = await self.make_elected_bench()
         bench.workers.refuse["start", "w1"] = UNREACHABLE
         await bench.runner.start()
         assert set(bench.workers.ttls.values()) == {3.0}
 
     @replay("confirm_when_whole")
     async def confirm_whole(self):
-        bench = await self.begin()
+        bench = await self.make_elected_bench()
         bench.workers.refuse["start", "w1"] = UNREACHABLE
         await bench.runner.start()
         commands = {c for c, _ in bench.workers.commands}
         assert "confirm" not in commands and "stop" in commands, commands
 
     @replay("stray_stopped_first")
-    async def stop_stray(self):
-        bench = await self.begin()
+    async def stop_orphan_first(self):
+        bench = await self.make_elected_bench()
         leader, state = bench.make_domain_leader()
         state.claimed = False
-        stray = TaskStatus(
+        orphan = TaskStatus(
             task="old.0.a1",
             job="old",
             attempt=1,
@@ -173,24 +173,24 @@
             accelerators=(0,),
             confirmed=True,
         )
-        state.tasks[stray.task] = stray
+        state.tasks[orphan.task] = orphan
         bench.workers.refuse["stop", "w0"] = UNREACHABLE
         await leader._admit(state)
-        assert not state.claimed, "renewed beside a stray that may still run"
+        assert not state.claimed, "renewed beside an orphan that may still run"
         bench.workers.refuse.clear()
         await leader._admit(state)
         assert state.claimed
 
     @replay("once_stays_once")
     async def run_once(self):
-        bench = await self.begin(idempotent=False)
+        bench = await self.make_elected_bench(idempotent=False)
         bench.workers.refuse["start", "w1"] = UNREACHABLE
         await bench.runner.start()
         assert (bench.job.state, bench.job.outcome) == ("finished", "unknown")
 
     @replay("write_compares_leader")
     async def write_late(self):
-        bench = await self.begin()
+        bench = await self.make_elected_bench()
         successor = make_leadership(bench.store, bench.clock, vm="bern-halle-2")
         bench.store.entries.pop(successor.key)
         await successor._campaign()
@@ -200,15 +200,15 @@
         assert bench.job == before and bench.leadership.state == "following"
 
     @replay("outwait_lapse")
-    async def outwait(self):
-        bench = await self.begin()
+    async def wait_for_expiry(self):
+        bench = await self.make_elected_bench()
         started = asyncio.ensure_future(bench.runner.start())
         await bench.wait(lambda: bench.runner.running)
         bench.accounting.workers["w1"].claimed = False
         bench.runner.inbox.put_nowait(MemberLost("w1"))
         await bench.wait(lambda: ("stop", "w0") in bench.workers.commands)
         await asyncio.sleep(0.3)
-        assert bench.job.state == "running", "queued beside a member that may run"
+        assert bench.job.state == "running", "queued again while a member may still run"
         while not started.done():
             bench.clock.now += 5
             await bench.leadership._renew()
@@ -217,10 +217,10 @@
 
 
 class ClaimReplays:
-    """A request id's steps on the real claim."""
+    """The steps of a request id on the real registry of ids."""
 
     @staticmethod
-    def make_owners(store, vm="a"):
+    def make_registry(store, vm="a"):
         identity = Identity(vm, "gateway", "bern-halle", f"start-{vm}", "", "")
         return RequestIdRegistry(identity=identity, store=store)
 
@@ -228,9 +228,9 @@
     async def claim_once(self):
         store = FakeStore()
         assert isinstance(
-            await self.make_owners(store).find_owner("r", "d", 0), OwnedHere
+            await self.make_registry(store).find_owner("r", "d", 0), OwnedHere
         )
-        other = await self.make_owners(store, "b").find_owner("r", "d", 0)
+        other = await self.make_registry(store, "b").find_owner("r", "d", 0)
         assert isinstance(other, OwnedElsewhere), other
 
     @replay("read_back_owner")
@@ -238,31 +238,31 @@
         store = FakeStore()
         store.lose_next_answer = True
         assert isinstance(
-            await self.make_owners(store).find_owner("r", "d", 0), OwnedHere
+            await self.make_registry(store).find_owner("r", "d", 0), OwnedHere
         )
         store.lose_next_answer = True
-        other = await self.make_owners(store, "b").find_owner("r", "d", 0)
+        other = await self.make_registry(store, "b").find_owner("r", "d", 0)
         assert isinstance(other, OwnedElsewhere), other
 
     @replay("unsure_declines")
     async def decline(self):
         store = FakeStore()
-        id_registry = self.make_owners(store)
-        await id_registry.find_owner("other", "d", 0)
+        registry = self.make_registry(store)
+        await registry.find_owner("other", "d", 0)
         store.down = True
-        assert isinstance(await id_registry.find_owner("r", "d", 0), OwnerUnknown)
+        assert isinstance(await registry.find_owner("r", "d", 0), OwnerUnknown)
 
 
 class ConfigurationReplays:
-    """A configuration's steps on the real holder and desk."""
+    """The steps of a configuration on the real holder and handler."""
 
     @staticmethod
     async def change(store):
-        """Let an operator at a gateway of its own change revision 0."""
+        """Change revision 0 as an operator with a gateway of its own."""
         timeline = Timeline(process="t", clock=FakeClock(), logical=LogicalClock())
         inventory = Inventory()
         inventory.replace({})
-        desk = ConfigurationHandler(
+        handler = ConfigurationHandler(
             store=store,
             holder=ConfigurationHolder(timeline),
             inventory=inventory,
@@ -271,7 +271,7 @@
         )
         value = msgspec.Raw(b"{}")
         change = Change(kind="organisation", name="squads", value=value)
-        return await desk.change(ChangeSet(expected_revision=0, changes=(change,)))
+        return await handler.change(ChangeSet(expected_revision=0, changes=(change,)))
 
     @replay("compare_head")
     async def race(self):
@@ -295,7 +295,7 @@
 
 
 class RunReplays:
-    """A run's steps on the real core and journal."""
+    """The steps of a run on the real core and progress writer."""
 
     def start(self, *, accept=True):
         world = EngineWorld(2)
@@ -341,7 +341,7 @@
     @replay("leader_compared")
     async def write_late(self):
         world, _ = self.start()
-        journal = ProgressWriter(
+        writer = ProgressWriter(
             core=world.core,
             store=FakePlatformStore(leader=2),
             token=1,
@@ -350,8 +350,8 @@
             on_durable=lambda: None,
         )
         world.core.cancel_job("a")
-        journal.wake()
-        assert isinstance(await journal.run(), NotLeader)
+        writer.wake()
+        assert isinstance(await writer.run(), NotLeader)
         assert "a" in world.core.dirty
 
     @replay("cancel_read_first")
@@ -410,7 +410,7 @@
     assert len(context.verdict.trace) == steps, context.verdict.trace
 
 
-@then('the real code refuses the step that "{guard}" is there for')
+@then('the real code rejects the step that "{guard}" prevents')
 def check_replay(context, guard):
     owner = next(r for r in REPLAYERS if REPLAYS[guard] in vars(r).values())
     asyncio.run(asyncio.wait_for(REPLAYS[guard](owner()), 20))
