--- a/features/configuration_force.feature
+++ b/features/configuration_force.feature
@@ -37,7 +37,7 @@
     And a change is accepted at the first failure domain
     Then status there says "cut off" for the third, at its old revision
     And the third failure domain reports that its store is unreachable
-    When the partition ends
+    When all partitions end
     Then the change is in force everywhere within 12 seconds
 
   Scenario: A process starts from an old peer while the store is down
@@ -67,5 +67,5 @@
     When the third failure domain is partitioned and its VM is replaced
     Then its gateway is live but not ready
     And a request and a job there are refused as "not_ready" with a time to retry
-    When the partition ends
+    When all partitions end
     Then its gateway is ready
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -260,7 +260,7 @@
     )
 
 
-@when("the partition ends")
+@when("all partitions end")
 def end_partition(context):
     context.site.cut()
     context.site.cut_from_store()
