--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -66,7 +66,7 @@
 
     def isolate(self, domain: str) -> None:
         self.site.cut(*(pair for pair in self.pairs if domain in pair))
-        self.site.cut_from_store(domain)
+        self.site.partition_from_store(domain)
 
     def list_events(self, name: str, number: int) -> list[dict]:
         events = call(self.site.addresses[name], "GET", "/v1/events")[1]["events"]
@@ -128,7 +128,7 @@
     accepted = {name for name, status, _ in answers if status == 200}
     refused = {name for name, status, _ in answers if status != 200}
     domain = context.site.layout.domains[2]
-    context.site.wait_in_force(max(b.get("revision", 0) for _, _, b in answers))
+    context.site.wait_until_in_force(max(b.get("revision", 0) for _, _, b in answers))
     found = set(context.operators.read(domain)["organisations"])
     assert accepted <= found and not refused & found, (accepted, refused, found)
 
@@ -167,7 +167,7 @@
 @then("both organisations are in force everywhere")
 def check_both(context):
     ops = context.operators
-    context.site.wait_in_force(ops.latest)
+    context.site.wait_until_in_force(ops.latest)
     for domain in context.site.layout.domains:
         assert set(ops.names) <= set(ops.read(domain)["organisations"])
 
@@ -219,7 +219,7 @@
 
     ops.latest = wait_for(change, what="the change is accepted")
     start = time.monotonic()
-    context.site.wait_in_force(ops.latest, limit)
+    context.site.wait_until_in_force(ops.latest, limit)
     assert time.monotonic() - start <= limit
     for each in context.site.layout.domains:
         assert before | {"afterwards"} == set(ops.read(each)["organisations"])
@@ -263,12 +263,12 @@
 @when("all partitions end")
 def end_partition(context):
     context.site.cut()
-    context.site.cut_from_store()
+    context.site.partition_from_store()
 
 
 @then("the change is in force everywhere within {limit:d} seconds")
 def check_in_force(context, limit):
-    context.site.wait_in_force(context.operators.latest, limit)
+    context.site.wait_until_in_force(context.operators.latest, limit)
     first = context.site.layout.domains[0]
     wait_for(
         lambda: context.operators.list_status(first)["in_force_everywhere"],
@@ -314,7 +314,7 @@
 
 @then("the newer revision comes into force in every failure domain")
 def check_newer(context):
-    context.site.wait_in_force(context.operators.latest, 12)
+    context.site.wait_until_in_force(context.operators.latest, 12)
 
 
 @then("no process ever returned to a lower revision")
@@ -333,7 +333,9 @@
 @when("the store is restored from a backup that is one change old")
 def restore(context):
     copy = context.operators.copy_store()
-    context.site.wait_in_force(context.operators.accept(context.site.layout.domains[0]))
+    context.site.wait_until_in_force(
+        context.operators.accept(context.site.layout.domains[0])
+    )
     context.operators.restore_store(copy)
 
 
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -33,9 +33,9 @@
 
     def configure(self) -> None:
         accepted = self.site.configure(add("squads"))
-        self.site.wait_in_force(accepted)
+        self.site.wait_until_in_force(accepted)
         for domain in self.site.layout.domains:
-            self.site.wait_leader(domain)
+            self.site.wait_for_leader(domain)
         self.operators.latest = accepted
         wait_for(lambda: self.operators.sees_everyone(self.third), what="everyone")
 
@@ -93,11 +93,11 @@
         if "others" in what:
             self.site.cut(*(p for p in self.operators.pairs if self.third in p))
         if "store" in what:
-            self.site.cut_from_store(self.third)
+            self.site.partition_from_store(self.third)
 
     def heal(self) -> None:
         self.site.cut()
-        self.site.cut_from_store()
+        self.site.partition_from_store()
 
     def call_all(self, what: str) -> None:
         """Partition the third, make one call of each kind, and heal the network."""
--- a/features/steps/jobs_reclaim_steps.py
+++ b/features/steps/jobs_reclaim_steps.py
@@ -27,8 +27,8 @@
             {"kind": "organisation", "name": "kraftwerk", "value": {"shape": shape}},
             {"kind": "organisation", "name": "squads", "value": {}},
         )
-        self.site.wait_in_force(revision)
-        self.site.wait_leader(DOMAIN)
+        self.site.wait_until_in_force(revision)
+        self.site.wait_for_leader(DOMAIN)
         self.borrowers = [self.submit("squads", 1, 600) for _ in range(WORKERS)]
         for job in self.borrowers:
             self.wait_state(job, "running", 20)
@@ -61,7 +61,7 @@
 
     def has_ordered_stop(self) -> bool:
         """Return whether the leader has ordered a stop for the owner's reclaim."""
-        leader = self.site.wait_leader(DOMAIN)["leader"]
+        leader = self.site.wait_for_leader(DOMAIN)["leader"]
         events = call(self.site.addresses[f"{leader}/scheduler"], "GET", "/v1/events")
         return "reclaimed by kraftwerk" in str(events[1])
 
@@ -91,7 +91,7 @@
     check = context.reclaim
     wait_for(check.has_ordered_stop, 10, "a preemption for the owner")
     assert check.find_state(context.owner) == "queued"
-    leader = check.site.wait_leader(DOMAIN)["leader"]
+    leader = check.site.wait_for_leader(DOMAIN)["leader"]
     check.site.child(f"{leader}/scheduler").kill()
 
 
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -24,9 +24,9 @@
             {"kind": "organisation", "name": "kraftwerk", "value": {"shape": shape}},
             {"kind": "organisation", "name": "squads", "value": {}},
         )
-        self.site.wait_in_force(revision)
+        self.site.wait_until_in_force(revision)
         for name in self.site.layout.domains:
-            self.site.wait_leader(name)
+            self.site.wait_for_leader(name)
 
     def send_urgent(self) -> None:
         gateway = self.site.gateway()
--- a/features/steps/platform_cut_steps.py
+++ b/features/steps/platform_cut_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from features.environment import start_platform
-from standins.platform_site import KEY
+from standins.platform_site import API_KEY
 from standins.site import wait_for
 
 JOB = {"spec": "0.3", "steps": [{"count": 1, "cpu": 1000, "mem_mb": 512, "gpu": 1}]}
@@ -45,7 +45,7 @@
     context.add_cleanup(connection.close)
     headers = {
         "Host": "jobs.example",
-        "Authorization": f"Bearer {KEY}",
+        "Authorization": f"Bearer {API_KEY}",
         "X-Deadline-Ms": "2500",
         "Content-Type": "application/json",
     }
--- a/features/steps/platform_path_steps.py
+++ b/features/steps/platform_path_steps.py
@@ -10,7 +10,7 @@
 
 from behave import given, then, when
 
-from standins.platform_site import KEY
+from standins.platform_site import API_KEY
 from standins.proxy import Mode, Proxy
 from standins.site import ROOT, wait_for
 
@@ -128,7 +128,7 @@
         connection = http.client.HTTPConnection(
             context.platform.ips[0], context.platform.front, timeout=5
         )
-        key = KEY if row["key"] == "right" else "other"
+        key = API_KEY if row["key"] == "right" else "other"
         headers = {"Host": "jobs.example", "Authorization": f"Bearer {key}"}
         connection.request(
             row["method"], row["path"], body=row["body"] or None, headers=headers
@@ -224,7 +224,7 @@
 
     def restore():
         site.configuration["version"] += 1
-        site.configuration["tenants"][0]["api_keys"] = [KEY]
+        site.configuration["tenants"][0]["api_keys"] = [API_KEY]
         site.configure()
         for node in list_live_nodes(context):
             wait_for(lambda n=node: read_state(context, "0" * 16, n) != 401, 10, "key")
@@ -484,7 +484,7 @@
     while time.monotonic() - context.stopped_at < 3.5:
         job_id = make_id()
         body = json.dumps({"spec": "0.2", "steps": [make_step()]})
-        headers = {"Host": "jobs.example", "Authorization": f"Bearer {KEY}"}
+        headers = {"Host": "jobs.example", "Authorization": f"Bearer {API_KEY}"}
         try:
             connection.request("POST", f"/q1/{job_id}", body=body, headers=headers)
             response = connection.getresponse()
--- a/features/steps/product_border_steps.py
+++ b/features/steps/product_border_steps.py
@@ -10,14 +10,14 @@
 from behave import given, then, when
 
 from standins.probe import read_resident_mb
-from standins.site import ROOT, call, claim_ports, wait_for
+from standins.site import ROOT, call, reserve_port_block, wait_for
 
 
 class LimitedListener:
     """A listener with low limits, and the peers that connect to it."""
 
     def __init__(self, connections: int, timeout_s: int) -> None:
-        self.lock, ports = claim_ports()
+        self.lock, ports = reserve_port_block()
         self.address = f"127.0.0.1:{next(ports)}"
         command = [sys.executable, "-m", "features.support.listener"]
         command += [f"--address={self.address}", f"--connections={connections}"]
--- a/features/steps/product_docs_steps.py
+++ b/features/steps/product_docs_steps.py
@@ -50,7 +50,7 @@
 @given("a site as the first command of the docs sets it up")
 def start_documented_site(context):
     site = start_site(context, Layout(domains=("bern-halle",), entry_vms=1))
-    site.wait_leader("bern-halle")
+    site.wait_for_leader("bern-halle")
 
 
 @when('every console line of "{page}" is run in a directory with its files')
--- a/features/steps/product_fabric_steps.py
+++ b/features/steps/product_fabric_steps.py
@@ -10,7 +10,7 @@
 from firladder._internal.network.fabric import Fabric
 from firladder._internal.utils.clocks import LogicalClock
 from standins.probe import read_resident_mb
-from standins.site import ROOT, claim_ports
+from standins.site import ROOT, reserve_port_block
 
 SECRET = "k" * 40
 
@@ -20,7 +20,7 @@
 
     def __init__(self, secret: str) -> None:
         self.loop = asyncio.new_event_loop()
-        self.lock, self.ports = claim_ports()
+        self.lock, self.ports = reserve_port_block()
         self.fabrics: list[Fabric] = []
         self.handled = 0
         self.server = self.add(secret)
--- a/features/steps/product_operations_steps.py
+++ b/features/steps/product_operations_steps.py
@@ -54,7 +54,7 @@
 
 @given("the site is configured with its token")
 def configure(context):
-    context.site.wait_leader("bern-halle")
+    context.site.wait_for_leader("bern-halle")
     status, answer = context.operator.change()
     assert status == 200, answer
 
--- a/features/steps/protocol_gang_steps.py
+++ b/features/steps/protocol_gang_steps.py
@@ -35,7 +35,7 @@
         self.jobs: list[str] = []
         self.stopped_leader = ""
         site.configure({"kind": "organisation", "name": "squads", "value": {}})
-        site.wait_leader(DOMAIN)
+        site.wait_for_leader(DOMAIN)
         # While a worker is still starting, gangs would be placed on other workers
         # than those that a scenario checks.
         wait_for(self._is_claimed, 20, "every worker is claimed")
@@ -95,7 +95,7 @@
         wait_for(lambda: self.has_member(number, job, state), 20, what)
 
     def find_leader(self) -> str:
-        leader = self.site.wait_leader(DOMAIN)["leader"]
+        leader = self.site.wait_for_leader(DOMAIN)["leader"]
         return f"{leader.split('/')[0]}/scheduler"
 
     def stop_leader(self, how: str) -> None:
--- a/features/steps/timeline_steps.py
+++ b/features/steps/timeline_steps.py
@@ -73,9 +73,9 @@
 def start_idle_site(context):
     context.timeline = TimelineCheck(start_site(context, Layout(**LAYOUT)))
     site = context.site
-    site.wait_in_force(site.configure(add("squads")))
+    site.wait_until_in_force(site.configure(add("squads")))
     for domain in site.layout.domains:
-        site.wait_leader(domain)
+        site.wait_for_leader(domain)
 
 
 @when(
@@ -91,7 +91,9 @@
         if number < jobs:
             context.timeline.accept_job(gateway)
         if number < changes:
-            site.wait_in_force(site.configure(add(f"o-{number}"), address=gateway))
+            site.wait_until_in_force(
+                site.configure(add(f"o-{number}"), address=gateway)
+            )
     context.timeline.wait_ends()
 
 
--- a/features/support/requests.py
+++ b/features/support/requests.py
@@ -71,7 +71,7 @@
         revision = self.site.configure(
             {"kind": "organisation", "name": "kraftwerk", "value": {}}
         )
-        self.site.wait_in_force(revision)
+        self.site.wait_until_in_force(revision)
         count = len(self.site.list_gateways())
         for name in self.site.list_gateways():
             wait_for(lambda n=name: self.count_gateways(n) == count, 20, "all peers")
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -52,7 +52,7 @@
             "value": {"selects": "kind=season-block", "urgency": "overnight"},
         },
     )
-    site.wait_in_force(revision)
+    site.wait_until_in_force(revision)
 
 
 def run_main_job(site: Site) -> None:
@@ -65,7 +65,7 @@
     spent_ms = (time.monotonic() - started) * 1000
     print(f"urgent request: {status} {answer['outcome']} in {spent_ms:.1f} ms")
     for domain in site.layout.domains:
-        site.wait_leader(domain)
+        site.wait_for_leader(domain)
     status, job = call(gateway, "POST", "/v1/jobs", GANG)
     print(f"gang: {status} accepted for {job['failure_domain']}")
     path = f"/v1/jobs/{GANG['id']}"
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from .proxy import Proxy
-from .site import ROOT, Child, call, claim_ports, wait_for
+from .site import ROOT, Child, call, reserve_port_block, wait_for
 
-KEY = "key-of-the-organisation"
+API_KEY = "key-of-the-organisation"
 
 CONFIGURATION: dict[str, Any] = {
     "version": 1,
@@ -32,7 +32,7 @@
     "services": [{"name": "pool-a", "enforces_capacity": False}],
     "limits": {"max_body_bytes": 262144, "idle_timeout_ms": 15000},
     "tenants": [
-        {"name": "alpin", "api_keys": [KEY], "guaranteed_gpu": {"gpu": 8}},
+        {"name": "alpin", "api_keys": [API_KEY], "guaranteed_gpu": {"gpu": 8}},
     ],
 }
 
@@ -99,7 +99,7 @@
         """Prepare; nothing runs yet. ``domains`` and ``links_mbps`` go by turns."""
         self._links_mbps = links_mbps
         self._domains = domains
-        self._lock, ports = claim_ports()
+        self._lock, ports = reserve_port_block()
         self.peer_port, self.metrics_port = next(ports), next(ports)
         if self.metrics_port != self.peer_port + 1:
             raise AssertionError("ports of a block follow each other")
@@ -196,7 +196,7 @@
         """Call a node as a client of the organisation would."""
         headers = {
             "Host": "jobs.example",
-            "Authorization": f"Bearer {more.get('key', KEY)}",
+            "Authorization": f"Bearer {more.get('key', API_KEY)}",
             "X-Deadline-Ms": str(more.get("deadline_ms", 2500)),
         }
         address = f"{self.ips[node]}:{self.front}"
--- a/standins/report.py
+++ b/standins/report.py
@@ -64,7 +64,7 @@
         site.start()
         site.configure({"kind": "organisation", "name": "kraftwerk", "value": {}})
         for domain in site.layout.domains:
-            site.wait_leader(domain)
+            site.wait_for_leader(domain)
         time.sleep(3)
         memory = {
             role: [
--- a/standins/site.py
+++ b/standins/site.py
@@ -125,7 +125,7 @@
 first port of its block as long as it lives, so that two never share one."""
 
 
-def claim_ports() -> tuple[socket.socket, Iterator[int]]:
+def reserve_port_block() -> tuple[socket.socket, Iterator[int]]:
     """Return the lock of a free block of ports, and the ports themselves."""
     for offset in range(BLOCKS):
         block = (os.getpid() + offset) % BLOCKS
@@ -152,7 +152,7 @@
         self.fabric: dict[str, str] = {}
         self.advertised: dict[str, str] = {}
         self.machines: list[dict[str, Any]] = []
-        self._lock, self._ports = claim_ports()
+        self._lock, self._ports = reserve_port_block()
 
     def _spawn(self, name: str, module: str, *arguments: str) -> Child:
         command = [sys.executable, "-m", module, *arguments]
@@ -291,7 +291,7 @@
         ips = [(self.domain_ip(a), self.domain_ip(b)) for a, b in pairs]
         call(self.addresses["switch"], "POST", "/cuts", {"cuts": ips})
 
-    def cut_from_store(self, *domains: str) -> None:
+    def partition_from_store(self, *domains: str) -> None:
         """Cut these failure domains off the platform's store; none heals all."""
         self.set_faults(cut=[self.domain_ip(d) for d in domains])
 
@@ -363,7 +363,7 @@
         assert status == 200, answer
         return int(answer["revision"])
 
-    def wait_in_force(self, revision: int, timeout_s: float = 15.0) -> None:
+    def wait_until_in_force(self, revision: int, timeout_s: float = 15.0) -> None:
         """Wait until every gateway has at least this revision in force."""
         for name in self.list_gateways():
             wait_for(
@@ -375,7 +375,7 @@
                 f"revision {revision} at {name}",
             )
 
-    def wait_leader(self, domain: str, timeout_s: float = 20.0) -> dict[str, Any]:
+    def wait_for_leader(self, domain: str, timeout_s: float = 20.0) -> dict[str, Any]:
         """Return the status of a failure domain once it has a leader."""
 
         def find() -> dict[str, Any] | None:
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -23,7 +23,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from .platform_site import KEY, PlatformSite
+from .platform_site import API_KEY, PlatformSite
 from .proxy import Mode, Proxy
 from .site import call
 
@@ -134,7 +134,7 @@
             ip = self.site.ips[node]
             kept = http.client.HTTPConnection(ip, self.site.front, timeout=4)
             self._connections[node] = kept
-        headers = {"Host": "jobs.example", "Authorization": f"Bearer {KEY}"}
+        headers = {"Host": "jobs.example", "Authorization": f"Bearer {API_KEY}"}
         headers["X-Deadline-Ms"] = "2500"
         data = None if body is None else json.dumps(body)
         began = time.monotonic()
