--- a/features/steps/protocol_standin_steps.py
+++ b/features/steps/protocol_standin_steps.py
@@ -78,7 +78,7 @@
 
 @when("the protocol lease has lapsed and a renewal that waited is obeyed")
 def renew_late(context):
-    context.worker.tasks[context.task].lease_ends = time.monotonic() - 1
+    context.worker.tasks[context.task].lease_expires_at = time.monotonic() - 1
     body = {"epoch": 1, "ttl_s": 30.0, "confirm": [context.task]}
     obey(context, standin.renew, context.task, **body)
 
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -66,7 +66,7 @@
         self.state = "held"
         self.reason = ""
         self.confirmed = False
-        self.lease_ends = now + spec.ttl_s
+        self.lease_expires_at = now + spec.ttl_s
         self.ends_at = 0.0
         self.speed = 1.0
         self.sequence = 0
@@ -157,7 +157,7 @@
         for task in list(self.tasks.values()):
             if task.state in ENDED:
                 continue
-            if task.lease_ends < now:
+            if task.lease_expires_at < now:
                 await self.move(task, "lapsed", "lease lapsed")
             elif task.state == "running" and task.ends_at <= now:
                 await self.move(task, "done")
@@ -283,7 +283,7 @@
     now = time.monotonic()
     left_s = _read_run_time(task.spec) - worker.read_checkpoint(task.spec)
     task.ends_at = now + max(0.0, left_s)
-    task.lease_ends = now + task.spec.ttl_s
+    task.lease_expires_at = now + task.spec.ttl_s
     await worker.move(task, "running")
     if worker.behaviour.fail_all:
         await worker.move(task, "failed", "worker fault")
@@ -323,7 +323,7 @@
             worker.tasks[name].confirmed = True
     for task in worker.tasks.values():
         if task.confirmed and task.state == "running":
-            task.lease_ends = now + req.ttl_s
+            task.lease_expires_at = now + req.ttl_s
     return worker.report(())
 
 
