--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small processes that take the place of outside systems when trying firladder."""
+"""Stand-ins for the systems around firladder, for tests, demos and measurements."""
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""Run the main job on a small site of stand-ins, and show what became of it."""
+"""Run an urgent request and a gang on a small site, and print the results."""
 
 import subprocess
 import sys
@@ -24,7 +24,7 @@
 
 
 def configure(site: Site) -> None:
-    """Create two organisations with shapes, a rule and labels."""
+    """Create two organisations with guaranteed shapes, a rule and worker labels."""
     domain = site.layout.domains[0]
     revision = site.configure(
         {
@@ -56,7 +56,7 @@
 
 
 def run_main_job(site: Site) -> None:
-    """Answer an urgent request and run a gang, printing each step."""
+    """Send an urgent request, run a gang and print the outcome of each."""
     gateway = site.gateway()
     _, tickets = call(gateway, "POST", "/v1/tickets", {})
     req = {**URGENT, "id": tickets["ids"][0]}
@@ -77,7 +77,7 @@
 
 
 def show(site: Site) -> None:
-    """Print status, some metrics and the time line of the gang."""
+    """Print the status, some metrics and the timeline of the gang."""
     gateway = site.gateway()
     command = [sys.executable, "-m", "firladder"]
     subprocess.run([*command, "status", f"--gateway={gateway}"], check=True)
@@ -89,7 +89,7 @@
 
 
 def main() -> int:
-    """Run until Ctrl-C, or to the end with ``--once``."""
+    """Run the demo, then serve until Ctrl-C unless ``--once`` is given."""
     site = Site(Layout())
     try:
         site.start()
--- a/standins/many_workers.py
+++ b/standins/many_workers.py
@@ -1,4 +1,4 @@
-"""A site of one failure domain with many workers in one process."""
+"""A site of one failure domain whose many workers share one process."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 def worker_address(number: int, port: int) -> str:
-    """Return the address of a worker by its number."""
+    """Return the address of the worker with this number."""
     return f"127.9.{number // 250}.{number % 250 + 1}:{port}"
 
 
@@ -19,14 +19,14 @@
     "scheduler.task_ttl_s": "30",
     "scheduler.start_ttl_s": "3",
 }
-"""The defaults of the settings that a test site shortens."""
+"""The product's defaults of the settings that ``Site`` shortens for tests."""
 
 
 class ManyWorkersSite(Site):
-    """One failure domain whose workers live in one process."""
+    """A site of one failure domain whose workers share one process."""
 
     def __init__(self, *, workers: int, entry_vms: int = 2, rows: int = 0) -> None:
-        """Plan a site of ``workers`` workers and ``rows`` further rows of VMs."""
+        """Prepare ``workers`` workers, and ``rows`` VM rows of another domain."""
         super().__init__(
             Layout(
                 domains=(DOMAIN,),
@@ -59,7 +59,7 @@
 
     @staticmethod
     def describe_worker(number: int, domain: str, port: int) -> dict[str, Any]:
-        """Return the VM list's row of a worker."""
+        """Return a worker's row of the VM list."""
         return {
             "name": f"worker-{number}",
             "role": "worker",
@@ -73,12 +73,12 @@
         }
 
     def read_traffic(self) -> int:
-        """Return the bytes between the leader and its workers so far."""
+        """Return the bytes sent between the leader and its workers so far."""
         found = call(self.addresses["workers"], "GET", "/traffic")[1]
         return int(found["received"] + found["sent"])
 
     def find_leader(self) -> str:
-        """Return the scheduler that leads, once all workers are claimed."""
+        """Wait for a scheduler that leads and return its name."""
         names = [n for n in self.fabric if n.endswith("/scheduler")]
 
         def find() -> str | None:
@@ -94,7 +94,7 @@
         return str(wait_for(find, 60, "a leader"))
 
     def count_claimed_workers(self, name: str) -> int:
-        """Return the workers that a leader has claimed."""
+        """Return the number of workers that a leader has claimed."""
         events = call(self.addresses[name], "GET", "/v1/events")[1]["events"]
         return sum(e["number"] == 410 for e in events)
 
@@ -117,7 +117,7 @@
         assert status == 202, answer
 
     def wait_for_state(self, job: str, state: str) -> None:
-        """Wait until a job is in a state."""
+        """Wait until a job has reached this state."""
         wait_for(
             lambda: call(self.gateway(), "GET", f"/v1/jobs/{job}")[1]["state"] == state,
             60,
--- a/standins/measure.py
+++ b/standins/measure.py
@@ -1,7 +1,8 @@
-"""Measure the daemons against sites that grow, and keep the points.
+"""Measure how the resource use of the daemons grows with the size of a site.
 
 ``python -m standins.measure leader gateway fleet rows --into=docs/slopes.json``
-takes some minutes on an idle machine. Each experiment is a function below.
+takes some minutes on an idle machine and stores the points as series. Each
+experiment is a function below.
 """
 
 import argparse
@@ -34,7 +35,7 @@
 
 
 def run_site(site: ManyWorkersSite, action: Callable[[ManyWorkersSite], Any]) -> Any:
-    """Run an action on a started and configured site, and stop it."""
+    """Start and configure a site, run an action on it, and stop it."""
     try:
         site.start()
         site.configure({"kind": "organisation", "name": "squads", "value": {}})
@@ -55,7 +56,7 @@
 
 
 def _measure_takeover(site: ManyWorkersSite) -> tuple[float, float]:
-    """Return seconds and processor milliseconds of a takeover."""
+    """Kill the leader; return the takeover's seconds and processor milliseconds."""
     leader = site.find_leader()
     standby = next(n for n in site.fabric if n.endswith("/scheduler") and n != leader)
     pid = site.child(standby).process.pid
@@ -111,7 +112,7 @@
 
 
 def measure_leader() -> Iterable[Series]:
-    """Measure a leader, its standby and a takeover against idle workers."""
+    """Measure a leader, its standby and a takeover by the number of idle workers."""
     measured = {
         n: run_site(ManyWorkersSite(workers=n), _measure_leader_once)
         for n in WORKER_COUNTS
@@ -120,7 +121,7 @@
 
 
 def measure_tasks() -> Iterable[Series]:
-    """Measure a leader against running tasks in gangs of 100."""
+    """Measure a leader by the number of running tasks, in gangs of 100."""
 
     def measure(tasks: int) -> Callable[[ManyWorkersSite], dict[str, float]]:
         def action(site: ManyWorkersSite) -> dict[str, float]:
@@ -150,7 +151,7 @@
 
 
 def measure_gangs() -> Iterable[Series]:
-    """Measure a gang's life against its size, and how fast it starts."""
+    """Measure a gang from submission to end, and its start, by its size."""
 
     def action(site: ManyWorkersSite) -> dict[int, dict[str, float]]:
         leader = site.find_leader()
@@ -193,7 +194,7 @@
 
 
 def measure_fleet() -> Iterable[Series]:
-    """Measure idle daemons against the processes of one failure domain."""
+    """Measure idle daemons by the number of processes in one failure domain."""
 
     def action(site: ManyWorkersSite) -> dict[str, dict[str, float]]:
         site.find_leader()
@@ -251,7 +252,7 @@
 
 
 def measure_rows() -> Iterable[Series]:
-    """Measure a gateway's start and memory against the rows of the VM list."""
+    """Measure a gateway's restart and memory by the number of VM list rows."""
 
     def action(site: ManyWorkersSite) -> dict[str, float]:
         name = site.list_gateways()[0]
@@ -308,11 +309,11 @@
     assert set(statuses) <= {200}, sorted(set(statuses))
 
 
-def _hold_requests(site: ManyWorkersSite, count: int) -> tuple[float, float]:
-    """Return how many callers wait at a gateway, and its memory meanwhile."""
+def _measure_queued_requests(site: ManyWorkersSite, count: int) -> tuple[float, float]:
+    """Return the requests queued at a gateway, and its memory in KB meanwhile."""
     gateway = site.list_gateways()[0]
     pid = site.child(gateway).process.pid
-    # A deadline so far off that nobody is refused, and all of them wait.
+    # A deadline so distant that no request is refused and all of them queue.
     body = {"organisation": "squads", "deadline_ms": 500_000, "idempotent": True}
     path = "/v1/services/planwerk/requests"
     with concurrent.futures.ThreadPoolExecutor(max(1, count)) as pool:
@@ -327,7 +328,7 @@
 
 
 def measure_gateway() -> Iterable[Series]:
-    """Measure a gateway against requests, callers that wait, and changes."""
+    """Measure a gateway by requests, queued requests and configuration changes."""
 
     def action(site: ManyWorkersSite) -> list[Series]:
         name = site.list_gateways()[0]
@@ -350,7 +351,7 @@
             time.sleep(max(0.0, 5.0 - (time.monotonic() - started)))
             changes.append((count, (read_processor_s(pid) - before) * 1000))
         site.behave("runner-d-1", run_s=0.2)
-        held = [_hold_requests(site, n) for n in (0, 100, 200, 400)]
+        held = [_measure_queued_requests(site, n) for n in (0, 100, 200, 400)]
         return [
             Series(
                 name="gateway.cpu.requests",
@@ -389,7 +390,7 @@
 
 
 def main() -> int:
-    """Run the experiments that the arguments name."""
+    """Run the experiments given on the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("experiments", nargs="+", choices=sorted(EXPERIMENTS))
     parser.add_argument("--into", type=Path, default=ROOT / "docs" / "slopes.json")
--- a/standins/probe.py
+++ b/standins/probe.py
@@ -1,4 +1,4 @@
-"""Read what the operating system knows of a process."""
+"""Read the resource use of a process from the operating system and its metrics."""
 
 import dataclasses
 import os
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Usage:
-    """A process at one moment: processor seconds, memory, fabric and calls."""
+    """A process's totals at one moment: processor, memory, fabric, store calls."""
 
     at: float
     processor_s: float
@@ -25,7 +25,7 @@
 
 
 def read_resident_mb(pid: int) -> float:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process, in MiB."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 2**20
 
@@ -41,14 +41,14 @@
 
 
 def read_metrics(address: str) -> dict[str, float]:
-    """Return a daemon's metrics; labels stay part of the name."""
+    """Return a daemon's metrics by name, with the labels as part of the name."""
     text = str(call(address, "GET", "/metrics")[1])
     rows = (x.rsplit(" ", 1) for x in text.splitlines() if x and x[0] != "#")
     return {name: float(value) for name, value in rows}
 
 
 def read_usage(site: Site, name: str) -> Usage:
-    """Return what a daemon of a site has used so far."""
+    """Return the totals of one of a site's daemons."""
     pid = site.child(name).process.pid
     metrics = read_metrics(site.addresses[name])
     return Usage(
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class UsageRate:
-    """What a daemon uses in a second, and its memory."""
+    """A daemon's use per second, and its resident memory."""
 
     processor_ms: float
     resident_mb: float
@@ -75,7 +75,7 @@
 def measure_rates(
     site: Site, names: list[str], window_s: float
 ) -> dict[str, UsageRate]:
-    """Return what each daemon used a second over one window."""
+    """Return each daemon's average use per second over a window."""
     before = {name: read_usage(site, name) for name in names}
     time.sleep(window_s)
     after = {name: read_usage(site, name) for name in names}
@@ -93,9 +93,9 @@
 
 
 def read_socket_bytes(pid: int) -> dict[str, int]:
-    """Return the bytes of each open TCP connection of a process, both ways.
+    """Return the bytes sent and received on each open TCP connection of a process.
 
-    Counts everything: messages between processes, the store, workers and HTTP.
+    Includes fabric messages, store calls, worker calls and HTTP.
     """
     lines = subprocess.run(
         ["ss", "-tinpOH"], capture_output=True, text=True, check=True
@@ -110,5 +110,5 @@
 
 
 def count_new_bytes(before: dict[str, int], after: dict[str, int]) -> int:
-    """Return the bytes between two readings of the same process."""
+    """Return the bytes sent and received between two readings of one process."""
     return sum(count - before.get(name, 0) for name, count in after.items())
--- a/standins/process.py
+++ b/standins/process.py
@@ -1,4 +1,4 @@
-"""Run one stand-in until it is told to stop."""
+"""Run a stand-in as a process until SIGTERM or SIGINT."""
 
 import argparse
 import asyncio
@@ -15,7 +15,7 @@
     parser: argparse.ArgumentParser,
     main: Callable[[argparse.Namespace], Coroutine[Any, Any, Any]],
 ) -> None:
-    """Install the asyncio reactor, run ``main`` and leave at SIGTERM or SIGINT."""
+    """Install the asyncio reactor, run ``main`` and exit at SIGTERM or SIGINT."""
     options = parser.parse_args()
     logging.basicConfig(stream=sys.stderr, level=logging.INFO)
 
--- a/standins/report.py
+++ b/standins/report.py
@@ -1,7 +1,7 @@
-"""Measure latency, memory and ceilings, and write them into the docs.
+"""Measure latency, resource limits and configuration delay for the docs.
 
 ``python -m standins.report latency ceilings configuration`` replaces those
-sections of ``docs/measurements.md``; the text around them stays.
+sections of ``docs/measurements.md`` and leaves the rest of the page unchanged.
 """
 
 import argparse
@@ -41,14 +41,14 @@
 
 
 class _Caller:
-    """One connection that is kept open, as a balancer's is."""
+    """A client with one persistent connection, as a load balancer has."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         self._connection = http.client.HTTPConnection(host, int(port), timeout=10)
 
     def post(self, path: str, body: bytes, headers: dict[str, str]) -> int:
-        """Return the microseconds until the whole answer was read."""
+        """Send a POST and return the microseconds until the response was read."""
         started = time.perf_counter_ns()
         self._connection.request("POST", path, body=body, headers=headers)
         resp = self._connection.getresponse()
@@ -58,7 +58,7 @@
 
 
 def measure_latency() -> str:
-    """Return added latency and idle memory on a site of three failure domains."""
+    """Report added latency and idle memory on a site of three failure domains."""
     site = Site(Layout(domains=("bern-halle", "olten-halle", "aarau-halle")))
     try:
         site.start()
@@ -152,7 +152,7 @@
 
 
 def measure_ceilings() -> str:
-    """Return idle and loaded daemons against the three ceilings."""
+    """Report the use of idle and loaded daemons against the three ceilings."""
     idle = run_site(ManyWorkersSite(workers=8, entry_vms=3), _measure_idle)
     loaded = run_site(
         ManyWorkersSite(workers=LOADED_WORKERS, entry_vms=3), _measure_loaded
@@ -194,7 +194,7 @@
 
 
 def measure_configuration() -> str:
-    """Return how long an accepted change takes until it is in force everywhere."""
+    """Report the time from accepting a change until every gateway applies it."""
     site = Site(Layout(domains=("bern-halle", "olten-halle", "aarau-halle")))
     found = _make_histogram()
     try:
@@ -233,7 +233,7 @@
 
 
 def main() -> int:
-    """Measure the sections that the arguments name."""
+    """Measure and replace the sections given on the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("sections", nargs="+", choices=sorted(SECTIONS))
     parser.add_argument("--into", type=Path, default=ROOT / "docs" / "measurements.md")
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,7 +1,7 @@
-"""A whole site on loopback addresses, started for trying firladder out.
+"""A complete site on loopback addresses, for tests, demos and measurements.
 
-Not part of the product. Each failure domain has source addresses of its own
-(127.0.N.x), so that stand-ins can cut one off.
+Not part of the product. Each failure domain has its own source addresses
+(127.0.N.x), so that the stand-ins can partition it from the others.
 """
 
 import dataclasses
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass
 class Layout:
-    """Sizes of a site, and the times that tests shorten."""
+    """Sizes of a site, and settings that override those of the test site."""
 
     domains: tuple[str, ...] = ("bern-halle", "olten-halle", "aarau-halle")
     entry_vms: int = 2
@@ -41,10 +41,10 @@
 
 
 class ChildProcess:
-    """One process that this site started."""
+    """A process that this site started."""
 
     def __init__(self, name: str, command: list[str], log: Path) -> None:
-        """Start the process with its log in a file."""
+        """Start the process and write its output to the file ``log``."""
         self.name = name
         self.command = command
         self.log = log
@@ -57,12 +57,12 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to this process, but not to its children."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         self.signal(signal.SIGKILL)
         self.process.wait()
 
@@ -71,7 +71,7 @@
         self.process = self._start()
 
     def stop(self, timeout_s: float = 20.0) -> int:
-        """Ask the process to leave and return its exit code."""
+        """Terminate the process and return its exit code, or -9 if it was killed."""
         self.signal(signal.SIGTERM)
         try:
             return self.process.wait(timeout_s)
@@ -89,7 +89,7 @@
     timeout_s: float = 30.0,
     headers: dict[str, str] | None = None,
 ) -> tuple[int, Any]:
-    """Call an HTTP interface and return status and decoded body."""
+    """Send an HTTP request and return the status and the decoded body."""
     host, _, port = address.rpartition(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     try:
@@ -105,7 +105,7 @@
 
 
 def wait_for(condition: Any, timeout_s: float = 15.0, what: str = "") -> Any:
-    """Return the condition's first true value, or fail when the time is over."""
+    """Return the condition's first true value, or fail after ``timeout_s``."""
     end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         try:
@@ -115,18 +115,18 @@
         if value:
             return value
         time.sleep(0.05)
-    raise AssertionError(f"not within {timeout_s} s: {what or condition}")
+    raise AssertionError(f"timed out after {timeout_s} s: {what or condition}")
 
 
 FIRST_PORT = 10_000
 PORTS_PER_BLOCK = 250
 PORT_BLOCKS = 85
-"""Ports of sites lie below the range of outgoing connections. A site holds the
-first port of its block as long as it lives, so that two never share one."""
+"""Site ports lie below the ephemeral port range. A site keeps the first port of its
+block bound while it runs, so that two sites never share a block."""
 
 
 def reserve_port_block() -> tuple[socket.socket, Iterator[int]]:
-    """Return the lock of a free block of ports, and the ports themselves."""
+    """Return the socket that locks a free block of ports, and its other ports."""
     for offset in range(PORT_BLOCKS):
         block = (os.getpid() + offset) % PORT_BLOCKS
         first = FIRST_PORT + block * PORTS_PER_BLOCK
@@ -137,14 +137,14 @@
             lock.close()
             continue
         return lock, iter(range(first + 1, first + PORTS_PER_BLOCK))
-    raise AssertionError("too many sites on this machine")
+    raise AssertionError("all blocks of ports are in use")
 
 
 class Site:
     """All processes of a site."""
 
     def __init__(self, layout: Layout) -> None:
-        """Choose addresses; nothing is started yet."""
+        """Reserve a block of ports and a directory; start no process yet."""
         self.layout = layout
         self.directory = Path(tempfile.mkdtemp(prefix="firladder-site-"))
         self.children: dict[str, ChildProcess] = {}
@@ -168,7 +168,7 @@
         return f"127.0.{self.layout.domains.index(domain) + 1}.1"
 
     def start(self) -> None:
-        """Start the stand-ins, fill the VM list, then start the product."""
+        """Start the stand-ins, publish the VM list, then start the product."""
         self.start_store()
         for domain in self.layout.domains:
             self._start_targets(domain)
@@ -187,7 +187,7 @@
                 self._wait_for_target(machine["address"])
 
     def start_store(self) -> None:
-        """Start the stand-in of the platform's store."""
+        """Start the store stand-in."""
         self.addresses["store"] = self._allocate_address("127.0.0.1")
         self._start_child(
             "store", "standins.store", "--address", self.addresses["store"]
@@ -195,7 +195,7 @@
         wait_for(lambda: call(self.addresses["store"], "GET", "/calls"), what="store")
 
     def _wait_for_target(self, address: str) -> None:
-        """Wait until a target listens; on a busy machine gateways are live before."""
+        """Wait until a target listens; on a busy machine gateways may be live first."""
         wait_for(lambda: call(address, "GET", "/control/runs"), what=address)
 
     def _start_targets(self, domain: str) -> None:
@@ -255,12 +255,12 @@
             )
 
     def publish_machines(self) -> None:
-        """Write the VM list into the store, as the platform does."""
+        """Write the VM list to the store, as the platform does."""
         for machine in self.machines:
             self.put_key(f"platform/vms/{machine['name']}", machine)
 
     def put_key(self, key: str, value: Any) -> None:
-        """Write one key of the store directly."""
+        """Write one key to the store, bypassing the product."""
         import base64
 
         def encode(text: str) -> str:
@@ -289,31 +289,31 @@
         )
 
     def cut(self, *pairs: tuple[str, str]) -> None:
-        """Cut these pairs of failure domains off each other; none heals all."""
+        """Partition exactly these pairs of failure domains; no pairs heal all."""
         ips = [(self.domain_ip(a), self.domain_ip(b)) for a, b in pairs]
         call(self.addresses["switch"], "POST", "/cuts", {"cuts": ips})
 
     def partition_from_store(self, *domains: str) -> None:
-        """Cut these failure domains off the platform's store; none heals all."""
+        """Partition exactly these failure domains from the store; none heals all."""
         self.set_faults(cut=[self.domain_ip(d) for d in domains])
 
     def list_entry_vms(self) -> list[str]:
-        """Return the names of all entry VMs."""
+        """Return the sorted names of the entry VMs."""
         return sorted({name.split("/")[0] for name in self.fabric})
 
     def list_gateways(self, domain: str = "") -> list[str]:
-        """Return the names of the gateway processes."""
+        """Return the sorted names of the gateways, of one failure domain if given."""
         return sorted(
             n for n in self.fabric if n.endswith("/gateway") and n.startswith(domain)
         )
 
     def start_vm(self, vm: str) -> None:
-        """Start both processes of an entry VM."""
+        """Start the gateway and the scheduler of an entry VM."""
         for role in ("gateway", "scheduler"):
             self.start_process(f"{vm}/{role}")
 
     def start_process(self, name: str, **overrides: str) -> ChildProcess:
-        """Start one process of the product with its settings."""
+        """Start one process of the product; ``overrides`` replace its settings."""
         vm, role = name.split("/")
         domain = vm.rsplit("-", 1)[0]
         settings = {
@@ -345,7 +345,7 @@
         }
 
     def child(self, name: str) -> ChildProcess:
-        """Return a started process by its name."""
+        """Return the process with this name."""
         return self.children[name.replace("/", ".")]
 
     def _is_live(self, name: str) -> bool:
@@ -353,11 +353,11 @@
         return status == 200
 
     def gateway(self, domain: str = "", number: int = 0) -> str:
-        """Return the HTTP address of a gateway."""
+        """Return the HTTP address of a gateway, of one failure domain if given."""
         return self.addresses[self.list_gateways(domain)[number]]
 
     def configure(self, *changes: dict[str, Any], address: str = "") -> int:
-        """Change the configuration and return its new revision."""
+        """Apply configuration changes at a gateway and return the new revision."""
         gateway = address or self.gateway()
         _, current = call(gateway, "GET", "/v1/config")
         body = {"expected_revision": current["revision"], "changes": list(changes)}
@@ -366,7 +366,7 @@
         return int(answer["revision"])
 
     def wait_until_in_force(self, revision: int, timeout_s: float = 15.0) -> None:
-        """Wait until every gateway has at least this revision in force."""
+        """Wait until every gateway applies at least this configuration revision."""
         for name in self.list_gateways():
             wait_for(
                 lambda n=name: (
@@ -378,7 +378,7 @@
             )
 
     def wait_for_leader(self, domain: str, timeout_s: float = 20.0) -> dict[str, Any]:
-        """Return the status of a failure domain once it has a leader."""
+        """Wait for a leader in a failure domain and return the domain's status."""
 
         def find() -> dict[str, Any] | None:
             status = call(self.gateway(domain), "GET", "/v1/status")[1]
@@ -390,11 +390,11 @@
         return dict(wait_for(find, timeout_s, f"a leader in {domain}"))
 
     def set_faults(self, **faults: Any) -> None:
-        """Set what the store does wrong from now on; nothing by default."""
+        """Replace the store's faults; those not given are off."""
         call(self.addresses["store"], "POST", "/faults", faults)
 
     def behave(self, name: str, **behaviour: Any) -> None:
-        """Set what a target or worker does wrong from now on."""
+        """Replace the behaviour of a target or worker; faults not given are off."""
         call(self.addresses[name], "POST", "/control/behaviour", behaviour)
 
     def stop(self) -> dict[str, int]:
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's key-value service, in the etcd v3 JSON interface.
+"""Stand-in for the platform's key-value service, with the etcd v3 JSON interface.
 
-Keeps one revision order, transactions, leases and watches in memory, counts
-every call (a waiting watch as one) and can be slow, down or lose answers.
+Keeps revisions, transactions, leases and watches in memory. Counts every call (an
+open watch as one) and can be slow, unavailable or lose answers.
 """
 
 import argparse
@@ -32,10 +32,11 @@
 
 
 class Faults(msgspec.Struct):
-    """What to do wrong; ``cut`` lists the source IP prefixes that get nothing.
+    """Faults to inject; calls from the IP prefixes in ``cut`` are not answered.
 
-    ``lose_key`` "lease" loses the answers to lease grants; ``stall_prefix``
-    leaves calls on keys of one prefix without an answer, and without effect.
+    ``lose_answers`` answers to writes of keys with the prefix ``lose_key`` are lost
+    ("lease": those to lease grants). Calls on keys with the prefix ``stall_prefix``
+    have neither an effect nor an answer.
     """
 
     delay_s: float = 0.0
@@ -61,9 +62,9 @@
         self.watching = 0
 
     async def commit(self, changes: list[tuple[str, str | None, int]]) -> int:
-        """Apply changes (key, value or None, lease) as one revision; return it."""
+        """Apply changes (key, value or None, lease) as one revision and return it."""
         self.revision += 1
-        # Others may commit while the watches are being told below.
+        # Other commits may advance the revision while the watches are notified below.
         applied = self.revision
         events: list[dict[str, Any]] = []
         for key, value, lease in changes:
@@ -85,7 +86,7 @@
         return applied
 
     async def expire_leases(self) -> None:
-        """End leases that were not renewed, with their keys."""
+        """Remove expired leases and their keys, forever."""
         while True:
             await asyncio.sleep(0.05)
             now = time.monotonic()
@@ -137,14 +138,14 @@
 async def _lose_answer(store: Store, call: HttpCall, keys: list[str]) -> None:
     matched = any(key.startswith(store.faults.lose_key) for key in keys)
     if store.faults.lose_answers > 0 and matched:
-        # The write took effect, but its caller never hears of it.
+        # The write took effect, but its caller gets no answer.
         store.faults.lose_answers -= 1
         await call.gone.wait()
 
 
 @routes.route("POST", "/v3/kv/range")
 async def range_keys(store: Store, call: HttpCall) -> HttpReply:
-    """Return a key, or all keys from it up to ``range_end``."""
+    """Return a key, or all keys from it up to ``range_end``, exclusive."""
     if refused := await _admit(store, call, "read"):
         return refused
     body = msgspec.json.decode(call.body)
@@ -173,7 +174,7 @@
 
 @routes.route("POST", "/v3/kv/txn")
 async def run_transaction(store: Store, call: HttpCall) -> HttpReply:
-    """Make all changes if all comparisons hold."""
+    """Apply all changes if all comparisons hold, else none."""
     if refused := await _admit(store, call, "write"):
         return refused
     body = msgspec.json.decode(call.body)
@@ -209,7 +210,7 @@
 
 @routes.route("POST", "/v3/lease/keepalive")
 async def renew_lease(store: Store, call: HttpCall) -> HttpReply:
-    """Renew a lease; TTL 0 says that it has expired."""
+    """Renew a lease; TTL 0 in the answer means that it has expired."""
     if refused := await _admit(store, call, "write"):
         return refused
     lease = int(msgspec.json.decode(call.body)["ID"])
@@ -223,7 +224,7 @@
 
 @routes.route("POST", "/v3/lease/revoke")
 async def revoke_lease(store: Store, call: HttpCall) -> HttpReply:
-    """Give up a lease."""
+    """Revoke a lease and remove its keys."""
     if refused := await _admit(store, call, "write"):
         return refused
     await store.end_lease(int(msgspec.json.decode(call.body)["ID"]))
@@ -232,7 +233,7 @@
 
 @routes.route("POST", "/v3/watch")
 async def watch_keys(store: Store, call: HttpCall) -> HttpReply:
-    """Stream changes from a revision on."""
+    """Stream the changes of a key range from a revision on."""
     if refused := await _admit(store, call, "watch"):
         return refused
     create = msgspec.json.decode(call.body)["create_request"]
@@ -285,14 +286,14 @@
 
 @routes.route("POST", "/faults")
 async def set_faults(store: Store, call: HttpCall) -> HttpReply:
-    """Set what to do wrong from now on."""
+    """Replace the faults to inject."""
     store.faults = msgspec.json.decode(call.body, type=Faults)
     return reply_json(store.faults)
 
 
 @routes.route("GET", "/calls")
 async def count_calls(store: Store, call: HttpCall) -> HttpReply:
-    """Return the calls so far, and the watches that wait now."""
+    """Return the calls so far by kind, and the number of open watches."""
     return reply_json({**store.calls, "watching": store.watching})
 
 
--- a/standins/switch.py
+++ b/standins/switch.py
@@ -1,8 +1,8 @@
-"""Stand-in of the network between failure domains: a relay that can be cut.
+"""Stand-in for the network between failure domains: relays that can be partitioned.
 
-Each process of the product is reached by its peers through a port here. A cut
-between two source address prefixes stalls what passes between them, as lost
-packets would; when it heals, what was on its way arrives late.
+Peers reach each process of the product through a port of this process. A partition
+between two source address prefixes stalls the traffic between them, as lost packets
+would; when it heals, the bytes in flight arrive late.
 """
 
 import argparse
@@ -28,9 +28,9 @@
 
 
 class Partitions(msgspec.Struct):
-    """Pairs of address prefixes between which nothing passes.
+    """Pairs of address prefixes between which traffic is held back.
 
-    ``one_way`` lists pairs of which only the first is kept from the second.
+    For pairs in ``one_way``, only traffic from the first to the second is held back.
     """
 
     cuts: tuple[tuple[str, str], ...] = ()
@@ -38,20 +38,20 @@
 
 
 class Switch:
-    """All relays, and the cuts in force."""
+    """All relays, and the partitions in force."""
 
     def __init__(self) -> None:
         self.state = Partitions()
         self.servers: list[asyncio.Server] = []
 
     def is_partitioned(self, source: str, dest: str) -> bool:
-        """Tell whether bytes from ``source`` to ``dest`` are held back."""
+        """Return whether bytes from ``source`` to ``dest`` are held back."""
         pairs = [*self.state.cuts, *((b, a) for a, b in self.state.cuts)]
         pairs += self.state.one_way
         return any(source.startswith(a) and dest.startswith(b) for a, b in pairs)
 
     async def add_relay(self, listen: str, forward: str) -> None:
-        """Pass connections on from one address to another."""
+        """Relay connections from one address to another."""
 
         async def serve(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -92,7 +92,7 @@
 
 @routes.route("POST", "/cuts")
 async def set_partitions(switch: Switch, call: HttpCall) -> HttpReply:
-    """Put these cuts in force, in place of the former ones."""
+    """Replace the partitions in force."""
     switch.state = msgspec.json.decode(call.body, type=Partitions)
     return reply_json(switch.state)
 
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,7 +1,7 @@
-"""Stand-in of a target: runs callers' requests in a few slots.
+"""Stand-in for a target: runs requests in a few slots.
 
-Counts every run by request id and can be slow, late, crossed, truncating,
-resetting or leaving.
+Counts runs by request id. Can be slow, answer with another request's id, truncate or
+duplicate responses, reset connections, refuse requests or drain.
 """
 
 import argparse
@@ -28,10 +28,11 @@
     """How the target answers.
 
     ``mode``: ok, crossed (another request's id), truncated (half the body),
-    reset (runs, then closes without an answer), reset_before (closes without
-    running), refuse (503, not run), error (runs and fails), duplicated (the
-    answer twice on one connection), closing (closes the connection behind its
-    answer without having said so).
+    reset (runs the request, then resets the connection without an answer),
+    reset_before (resets without running), refuse (503, not run), error (runs and
+    fails), duplicated (sends the answer twice on one connection), closing (closes
+    the connection after its answer without a ``Connection: close``).
+    ``faulty_runs`` requests are treated so, the others as ok.
     """
 
     run_s: float = 0.005
@@ -56,7 +57,7 @@
 
 @routes.route("POST", "/{service}")
 async def run_request(target: Target, call: HttpCall) -> HttpReply:
-    """Run a request in a slot and echo its id."""
+    """Run a request in a slot and return its id and body."""
     request_id = call.headers.get("x-request-id", "")
     loop = asyncio.get_running_loop()
     target.arrivals[request_id] += 1
@@ -122,20 +123,20 @@
 
 @routes.route("GET", "/health")
 async def report_health(target: Target, call: HttpCall) -> HttpReply:
-    """Say whether the target is leaving."""
+    """Return the target's state: live, or leaving."""
     return reply_json({"state": target.behaviour.state})
 
 
 @routes.route("POST", "/control/behaviour")
 async def set_behaviour(target: Target, call: HttpCall) -> HttpReply:
-    """Set how to answer from now on."""
+    """Replace how the target answers."""
     target.behaviour = msgspec.json.decode(call.body, type=Behaviour)
     return reply_json(target.behaviour)
 
 
 @routes.route("GET", "/control/runs")
 async def count_runs(target: Target, call: HttpCall) -> HttpReply:
-    """Return how often each request id ran, and arrived."""
+    """Return how often each request id ran and arrived, and the most slots in use."""
     return reply_json(
         {
             "runs": dict(target.runs),
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,7 +1,7 @@
-"""Stand-in of a worker: runs tasks under leases with a fencing epoch.
+"""Stand-in for a worker: runs tasks under leases with a fencing epoch.
 
-Starts what it is given, whether it fits or not, and records overcommitment
-and the times at which each task ran, from which half-run gangs are found.
+Starts tasks even beyond its capacity. Records overcommitment and the interval in which
+each task ran, from which tests find gangs that ran only in part.
 """
 
 import argparse
@@ -42,7 +42,7 @@
 
 
 class Behaviour(msgspec.Struct):
-    """What to do wrong. ``cut`` lists source IP prefixes that get nothing."""
+    """Faults to inject; calls from the IP prefixes in ``cut`` are not answered."""
 
     fail_all: bool = False
     ignore_polite: bool = False
@@ -52,7 +52,7 @@
 
 
 class ThrottleTask(msgspec.Struct, frozen=True):
-    """Run a task at a part of its full speed (above 0, at most 1)."""
+    """Run a task at this share of its full speed (above 0, at most 1)."""
 
     epoch: int
     speed: float
@@ -113,7 +113,7 @@
         )
 
     async def move(self, task: Task, state: str, reason: str = "") -> None:
-        """Put a task into another state and tell those who wait."""
+        """Move a task to another state and notify waiting calls."""
         now = time.time()
         if state == "running":
             self.intervals.append(_open_interval(self.name, task, now))
@@ -143,15 +143,15 @@
             )
 
     async def run(self) -> None:
-        """End tasks that are finished or whose lease has lapsed."""
+        """End tasks that are done or whose lease has expired, forever."""
         while True:
             await asyncio.sleep(0.02)
             await self.end_due()
 
     async def end_due(self) -> None:
-        """End what is due by now; also before a command that waited is obeyed.
+        """End tasks that are due; called also before each command is carried out.
 
-        A worker that was paused would else renew a lease that has lapsed.
+        Otherwise a worker that was paused would renew a lease that has expired.
         """
         now = time.monotonic()
         for task in list(self.tasks.values()):
@@ -163,17 +163,17 @@
                 await self.move(task, "done")
 
     def find_checkpoint(self, spec: ReserveTask) -> Path | None:
-        """Return where the platform keeps the progress of a job's member.
+        """Return the file that holds the progress of a job's member.
 
-        Its key is the job and the member's number, so that the member finds it
-        on whatever worker its next attempt runs.
+        Its name holds the job and the member's number without the attempt, so that
+        the next attempt finds it on any worker.
         """
         if not self.checkpoints:
             return None
         return Path(self.checkpoints) / f"checkpoint-{spec.task.rpartition('.a')[0]}"
 
     def read_checkpoint(self, spec: ReserveTask) -> float:
-        """Return the seconds of work that an earlier attempt has saved."""
+        """Return the seconds of work that earlier attempts have saved."""
         path = self.find_checkpoint(spec)
         return float(path.read_text()) if path and path.exists() else 0.0
 
@@ -193,7 +193,7 @@
 
 
 def _read_run_time(spec: ReserveTask) -> float:
-    """Return the real run time, which the payload may set apart from the declared."""
+    """Return the actual run time: the payload's ``run_s``, else the declared time."""
     payload = msgspec.json.decode(spec.payload)
     if isinstance(payload, dict) and "run_s" in payload:
         return float(payload["run_s"])
@@ -213,7 +213,7 @@
 
 
 def fence(worker: Worker, epoch: int) -> HttpReply | None:
-    """Obey the epoch from now on, or refuse it if a higher one was obeyed."""
+    """Adopt the epoch, or return a rejection if a higher one was adopted."""
     if epoch < worker.epoch:
         worker.fenced += 1
         return reply_json({"error": "fenced", "epoch": worker.epoch}, status=409)
@@ -222,7 +222,7 @@
 
 
 def command(path: str, type_: type[Any]) -> Callable[[Command], Handler]:
-    """Register a command to the worker, which answers with a value."""
+    """Register a command to the worker; its result is the answer."""
 
     def register(handler: Command) -> Handler:
         @routes.route("POST", path)
@@ -239,7 +239,7 @@
 
 
 def task_command(name: str, type_: type[Any]) -> Callable[[TaskCommand], Handler]:
-    """Register a command to one task, answered with the task's state."""
+    """Register a command to one task; the task's status is the answer."""
 
     def register(handler: TaskCommand) -> Handler:
         @routes.route("POST", f"/tasks/{{task}}/{name}")
@@ -261,13 +261,13 @@
 
 @command("/claim", ClaimWorker)
 async def claim(worker: Worker, req: ClaimWorker) -> TaskReport:
-    """Obey this epoch and no lower one; return all tasks."""
+    """Reject lower epochs from now on; return all tasks."""
     return worker.report(worker.tasks.values())
 
 
 @command("/tasks", ReserveTask)
 async def reserve(worker: Worker, req: ReserveTask) -> TaskStatus:
-    """Hold accelerators for a task; a repeated call changes nothing."""
+    """Reserve accelerators for a task; a repeated call changes nothing."""
     task = worker.tasks.get(req.task)
     if task is None:
         task = worker.tasks[req.task] = Task(req, time.monotonic())
@@ -277,7 +277,7 @@
 
 @task_command("start", StartTask)
 async def start(worker: Worker, task: Task, req: StartTask) -> None:
-    """Run a held task."""
+    """Run a reserved task."""
     if worker.behaviour.never_start or task.state != "held":
         return
     now = time.monotonic()
@@ -291,7 +291,7 @@
 
 @task_command("stop", StopTask)
 async def stop(worker: Worker, task: Task, req: StopTask) -> None:
-    """End a task, politely or by force."""
+    """Stop a task; ``ignore_polite`` ignores orders of mode "polite"."""
     polite = req.mode == "polite"
     if task.state not in ENDED and not (polite and worker.behaviour.ignore_polite):
         await worker.move(task, "stopped", f"stopped: {req.mode}")
@@ -299,7 +299,7 @@
 
 @task_command("checkpoint", StartTask)
 async def checkpoint(worker: Worker, task: Task, req: StartTask) -> None:
-    """Save the task's progress, from which a later attempt goes on."""
+    """Save the task's progress, from which a later attempt continues."""
     path = worker.find_checkpoint(task.spec)
     if path is not None and task.state == "running":
         remaining_s = (task.ends_at - time.monotonic()) * task.speed
@@ -316,7 +316,7 @@
 
 @command("/renew", RenewTasks)
 async def renew(worker: Worker, req: RenewTasks) -> TaskReport:
-    """Renew the leases of all confirmed tasks, and confirm more."""
+    """Confirm the given tasks and renew the leases of all confirmed tasks."""
     now = time.monotonic()
     for name in req.confirm:
         if name in worker.tasks:
@@ -329,7 +329,7 @@
 
 @routes.route("GET", "/tasks")
 async def follow(worker: Worker, call: HttpCall) -> HttpReply:
-    """Return the tasks that changed, waiting for a change."""
+    """Return the tasks that changed after ``since``, waiting up to ``wait_s``."""
     await _admit(worker, call)
     since = int(call.query.get("since", "0"))
     wait_s = float(call.query.get("wait_s", "0"))
@@ -345,7 +345,7 @@
 
 @routes.route("GET", "/usage")
 async def report_usage(worker: Worker, call: HttpCall) -> HttpReply:
-    """Return usage as it was a while ago."""
+    """Return the accelerators in use, ``USAGE_LAG_S`` late."""
     busy = sum(
         len(t.spec.accelerators) for t in worker.tasks.values() if t.state == "running"
     )
@@ -355,14 +355,14 @@
 
 @routes.route("POST", "/control/behaviour")
 async def set_behaviour(worker: Worker, call: HttpCall) -> HttpReply:
-    """Set what to do wrong from now on."""
+    """Replace the faults to inject."""
     worker.behaviour = msgspec.json.decode(call.body, type=Behaviour)
     return reply_json(worker.behaviour)
 
 
 @routes.route("GET", "/control/history")
 async def report_history(worker: Worker, call: HttpCall) -> HttpReply:
-    """Return when each task ran, and every overcommitment."""
+    """Return the intervals in which tasks ran, and every overcommitment."""
     return reply_json(
         {
             "intervals": worker.intervals,
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -1,7 +1,7 @@
-"""Stand-in of many workers in one process, one loopback address each.
+"""Stand-ins for many workers in one process, each with its own loopback address.
 
-Lets one leader be measured against the target size on one machine. Counts the
-bytes of all its connections, which are the leader's bytes to its workers.
+They let a leader be measured with the required number of workers on one machine.
+Counts the bytes of all connections, which are those between leader and workers.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 
 class Traffic:
-    """Bytes and calls that the workers of this process saw."""
+    """Bytes that the workers of this process have received and sent."""
 
     def __init__(self) -> None:
         self.received = 0
@@ -57,13 +57,13 @@
 
 @control.route("GET", "/traffic")
 async def report_traffic(traffic: Traffic, call: HttpCall) -> HttpReply:
-    """Return the bytes so far."""
+    """Return the bytes received and sent so far."""
     return reply_json({"received": traffic.received, "sent": traffic.sent})
 
 
 async def main(options: argparse.Namespace) -> None:
     """Serve until stopped."""
-    # Imported late: the package's import above installs this reactor.
+    # Imported here: the import of the package above installs this reactor first.
     from twisted.internet import reactor
 
     traffic = Traffic()
