--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""The platform's store and workers in one process, for tests without a bench."""
+"""Stand-ins for the platform's store and workers, in one process."""
 
 import argparse
 import asyncio
@@ -18,23 +18,23 @@
 from .process import run_standin
 
 MAX_BODY_BYTES = 2 * 1024 * 1024
-"""Bytes of a call to the store: a value of a megabyte in base64, and its frame."""
+"""Limit of a call to the store: a value of 1 MB in base64, and the rest of the body."""
 
 BACKGROUND_TASKS: set["asyncio.Task[Any]"] = set()
 
 
 class PlatformApp(StoreApp):
-    """The store, and what the workers have seen."""
+    """The store, and the ledger of the workers' runs."""
 
     def __init__(self, store: MemoryStore, ledger: Ledger) -> None:
-        """Serve ``store`` and tell of ``ledger``."""
+        """Serve ``store`` and ``ledger``."""
         super().__init__(store)
         self.ledger = ledger
 
 
 @routes.route("GET", "/ledger")
 async def show_ledger(app: PlatformApp, call: HttpCall) -> HttpReply:
-    """Return all starts, all tasks done, and what went wrong."""
+    """Return all starts, done and running tasks, problems and store calls."""
     ledger = app.ledger
     running = {
         w.worker_id: sorted(r.task for r in w.runs.values()) for w in ledger.workers
@@ -51,7 +51,7 @@
 
 
 async def send_heartbeats(store: MemoryStore, worker: Worker) -> None:
-    """Register a worker again and again under a lease, as a live one does."""
+    """Register a worker at the start and then every 30 heartbeats, unless silent."""
     seq = 0
     while True:
         seq += 1
@@ -77,13 +77,13 @@
 
 
 def main() -> None:
-    """Serve until told to stop."""
+    """Serve until stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--store", required=True, help="ip:port of the store")
     parser.add_argument(
         "--workers",
         required=True,
-        help="ip:port[>ip:port],...: each worker, and where it says that it listens",
+        help="ip:port[>ip:port],...: each worker's address, and the one it advertises",
     )
     parser.add_argument("--seed", type=int, default=0)
     run_standin(parser, serve)
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -1,4 +1,4 @@
-"""A whole platform on loopback addresses: stand-ins, and nodes as processes."""
+"""A complete platform on loopback addresses: stand-ins, and nodes as processes."""
 
 import json
 import os
@@ -54,14 +54,14 @@
 
 
 class NodeProcess(ChildProcess):
-    """A node: like any other child, with its settings file in the environment."""
+    """A node process, which gets its settings file through the environment."""
 
     def __init__(self, name: str, ip: str, settings: Path, log: Path) -> None:
         """Start the node."""
         self.ip = ip
         self.settings = settings
         self.log_bytes = 0
-        """Bytes of log that earlier processes of this node have written."""
+        """Size of the log when the node's current process was started."""
         super().__init__(
             name, [sys.executable, str(ROOT / "deploy" / "launch.py"), "node"], log
         )
@@ -80,12 +80,12 @@
             )
 
     def has_logged(self) -> bool:
-        """Tell whether the node's present process has written a line."""
+        """Return whether the node's current process has written to its log."""
         return self.log.stat().st_size > self.log_bytes
 
 
 class PlatformSite:
-    """Stand-ins of the platform, and nodes on addresses of their own."""
+    """Stand-ins for the platform, and nodes that each have their own IP address."""
 
     def __init__(
         self,
@@ -96,13 +96,13 @@
         domains: tuple[str, ...] = ("d",),
         links_mbps: tuple[float, ...] = (1000.0,),
     ) -> None:
-        """Prepare; nothing runs yet. ``domains`` and ``links_mbps`` go by turns."""
+        """Prepare the site; nodes take ``domains`` and ``links_mbps`` in rotation."""
         self._links_mbps = links_mbps
         self._domains = domains
         self._lock, ports = reserve_port_block()
         self.peer_port, self.metrics_port = next(ports), next(ports)
         if self.metrics_port != self.peer_port + 1:
-            raise AssertionError("ports of a block follow each other")
+            raise AssertionError("the ports of a block must be consecutive")
         self.front, self.ready = next(ports), next(ports)
         self.store = f"127.0.9.1:{next(ports)}"
         self.workers = [f"127.0.9.2:{next(ports)}" for _ in range(workers)]
@@ -116,7 +116,7 @@
         self.configuration = json.loads(json.dumps(CONFIGURATION))
 
     def route_through(self, proxy: Proxy) -> None:
-        """Put a link before the store for each node, and one before each worker."""
+        """Add a proxy link to the store for each node, and one to each worker."""
         for number in range(len(self.ips)):
             listen = f"127.0.9.3:{next(self.spare_ports)}"
             proxy.add(f"store-{number}", listen, self.store)
@@ -127,7 +127,7 @@
             self.advertised[number] = listen
 
     def start(self) -> None:
-        """Start everything and wait until jobs can be taken."""
+        """Start the stand-ins and all nodes, and wait until the nodes are ready."""
         command = [sys.executable, "-m", "standins.platform", "--store", self.store]
         workers = zip(self.workers, self.advertised, strict=True)
         command += ["--workers", ",".join(f"{a}>{b}" for a, b in workers)]
@@ -143,7 +143,7 @@
             wait_for(lambda ip=ip: self.is_ready(ip), 30, f"node {ip}")
 
     def start_node(self, number: int) -> NodeProcess:
-        """Start one node."""
+        """Write a node's settings file and start the node."""
         ip = self.ips[number]
         seeds = ", ".join(f'"{other}:1"' for other in self.ips[:3])
         settings = self.directory / f"node-{number}.toml"
@@ -167,51 +167,51 @@
         return node
 
     def configure(self) -> None:
-        """Store the configuration as the operator would."""
+        """Write the configuration to the store, as the operator does."""
         self.put("op/config", self.configuration)
 
     def put(self, key: str, value: Any) -> None:
-        """Write to the store as another writer."""
+        """Write a key to the store, as another writer would."""
         status, _ = call(self.store, "POST", "/put", {"key": key, "value": value})
         assert status == 200, status
 
     def remove(self, key: str) -> None:
-        """Remove a key as the operator would."""
+        """Remove a key from the store, as the operator does."""
         status, _ = call(self.store, "POST", "/remove", {"key": key})
         assert status == 200, status
 
     def set_store_faults(self, **faults: Any) -> None:
-        """Let the store do wrong."""
+        """Replace the store's faults; those not given are off."""
         call(self.store, "POST", "/faults", faults)
 
     def set_worker_faults(self, number: int, **faults: Any) -> None:
-        """Let a worker do wrong."""
+        """Replace a worker's faults; those not given are off."""
         call(self.workers[number], "POST", "/faults", faults)
 
     def is_ready(self, ip: str) -> bool:
-        """Tell whether a node wants new connections."""
+        """Return whether a node reports that it is ready for new connections."""
         return call(f"{ip}:{self.ready}", "GET", "/-/ready")[0] == 200
 
     def ask(
-        self, method: str, path: str, body: Any = None, *, node: int = 0, **more: Any
+        self, method: str, path: str, body: Any = None, *, node: int = 0, **options: Any
     ) -> tuple[int, Any]:
-        """Call a node as a client of the organisation would."""
+        """Call a node as a client of the organisation, and return status and body."""
         headers = {
             "Host": "jobs.example",
-            "Authorization": f"Bearer {more.get('key', API_KEY)}",
-            "X-Deadline-Ms": str(more.get("deadline_ms", 2500)),
+            "Authorization": f"Bearer {options.get('key', API_KEY)}",
+            "X-Deadline-Ms": str(options.get("deadline_ms", 2500)),
         }
         address = f"{self.ips[node]}:{self.front}"
         path = urllib.parse.quote(path)
         return call(address, method, path, body, headers=headers, timeout_s=10)
 
     def read_ledger(self) -> dict[str, Any]:
-        """Return what the workers have seen."""
+        """Return the ledger of the workers' runs."""
         found: dict[str, Any] = call(self.store, "GET", "/ledger")[1]
         return found
 
     def find_leader(self) -> int | None:
-        """Return the number of the node that leads."""
+        """Return the number of the node that leads, if any."""
         for number, ip in enumerate(self.ips):
             try:
                 _, text = call(f"{ip}:{self.metrics_port}", "GET", "/metrics")
@@ -223,11 +223,11 @@
         return None
 
     def read_logs(self) -> str:
-        """Return what all nodes have logged."""
+        """Return the logs of all nodes."""
         return "".join(n.log.read_text() for n in self.nodes)
 
     def stop(self) -> None:
-        """End everything that this site started."""
+        """Kill all processes of this site and release its ports."""
         for node in self.nodes:
             node.kill()
         self.platform.kill()
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's metadata store, in the platform's own dialect.
+"""Stand-in for the platform's metadata store, with the platform's own interface.
 
-Kept in memory: one revision order, transactions, leases, watches. Faults can be
-set while it runs: turning callers away, silence, lost or late answers.
+Keeps revisions, transactions, leases and watches in memory. Faults can be set while
+it runs: rejected calls, calls without an answer, lost or late transactions.
 """
 
 import asyncio
@@ -24,10 +24,10 @@
 
 
 class StoreFaults(msgspec.Struct):
-    """What to do wrong; ``turned_away`` lists IP numbers that get 503.
+    """Faults to inject; calls from the IP addresses in ``turned_away`` get 503.
 
-    ``lost_share`` of the transactions are done and not answered, ``late_s``
-    seconds later if that is set. ``silent`` leaves every call without an answer.
+    ``lost_share`` of the transactions are applied, after ``late_s`` seconds, but not
+    answered. ``silent`` leaves every call unanswered, ``busy`` answers all with 503.
     """
 
     turned_away: tuple[str, ...] = ()
@@ -39,7 +39,7 @@
 
 
 class Row(msgspec.Struct):
-    """A stored item."""
+    """A stored value with its revisions and its lease (0: none)."""
 
     value: str
     revision: int
@@ -64,7 +64,7 @@
         self.calls = 0
 
     async def apply(self, puts: list[dict[str, Any]], remove: list[str]) -> int:
-        """Write and remove as one revision; return it."""
+        """Apply puts and removals as one revision and return it."""
         self.revision += 1
         for put in puts:
             former = self.rows.get(put["key"])
@@ -83,11 +83,11 @@
         return applied
 
     async def put(self, key: str, value: bytes) -> int:
-        """Write as the operator or a worker would."""
+        """Write one key, as the operator or a worker does."""
         return await self.apply([{"key": key, "value": encode_value(value)}], [])
 
     async def expire_leases(self) -> None:
-        """End leases that were not renewed, with their keys."""
+        """Remove expired leases and their keys, forever."""
         while True:
             await asyncio.sleep(0.05)
             now = time.monotonic()
@@ -95,20 +95,20 @@
                 await self.end_lease(lease)
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease, with its keys."""
+        """Remove a lease and its keys."""
         self.leases.pop(lease, None)
         keys = [k for k, row in self.rows.items() if row.lease == lease]
         if keys:
             await self.apply([], keys)
 
     def drop_history(self) -> None:
-        """Forget all changes up to now."""
+        """Discard the history of changes, so that older watches get 410."""
         self.history.clear()
         self.oldest_revision = self.revision
 
 
 def encode_value(value: bytes) -> str:
-    """Return a value as it travels."""
+    """Return a value in base64, as the interface carries it."""
     return base64.b64encode(value).decode()
 
 
@@ -117,14 +117,14 @@
 
 
 class StoreApp:
-    """The store as its HTTP calls see it."""
+    """The application that the HTTP routes act on."""
 
     def __init__(self, store: MemoryStore) -> None:
         """Serve ``store``."""
         self.store = store
 
     async def admit(self, call: HttpCall) -> HttpReply | None:
-        """Return the refusal that the faults ask for, if any."""
+        """Count a call and apply the faults; return the rejection, if any."""
         self.store.calls += 1
         faults = self.store.faults
         if faults.silent:
@@ -137,7 +137,7 @@
 
 @routes.route("GET", "/-/kv-key")
 async def read_key(app: StoreApp, call: HttpCall) -> HttpReply:
-    """Return one item."""
+    """Return one key's item, or 404."""
     refused = await app.admit(call)
     if refused is not None:
         return refused
@@ -150,7 +150,7 @@
 
 @routes.route("GET", "/-/kv-range")
 async def read_range(app: StoreApp, call: HttpCall) -> HttpReply:
-    """Return a page of items."""
+    """Return a page of the items with a key prefix, in key order."""
     refused = await app.admit(call)
     if refused is not None:
         return refused
@@ -165,13 +165,13 @@
 
 @routes.route("GET", "/-/kv-watch")
 async def watch(app: StoreApp, call: HttpCall) -> HttpReply:
-    """Return what changed since a revision, waiting for it."""
+    """Return the changes after a revision, waiting for one up to ``wait_ms``."""
     refused = await app.admit(call)
     if refused is not None:
         return refused
     store = app.store
     prefix, after = call.query["prefix"], int(call.query["after"])
-    until = time.monotonic() + int(call.query["wait_ms"]) / 1000
+    deadline = time.monotonic() + int(call.query["wait_ms"]) / 1000
     while True:
         if after < store.oldest_revision:
             return HttpReply(410)
@@ -180,19 +180,19 @@
             for e in store.history
             if e["revision"] > after and e["key"].startswith(prefix)
         ]
-        left = until - time.monotonic()
-        if events or left <= 0:
+        remaining_s = deadline - time.monotonic()
+        if events or remaining_s <= 0:
             return reply_json({"events": events, "at": store.revision})
         async with store.changed:
             try:
-                await asyncio.wait_for(store.changed.wait(), left)
+                await asyncio.wait_for(store.changed.wait(), remaining_s)
             except TimeoutError:
                 continue
 
 
 @routes.route("POST", "/-/kv-txn")
 async def commit(app: StoreApp, call: HttpCall) -> HttpReply:
-    """Write all or nothing."""
+    """Apply a transaction if all expected revisions match, else nothing."""
     refused = await app.admit(call)
     if refused is not None:
         return refused
@@ -248,7 +248,7 @@
 
 @routes.route("DELETE", "/-/kv-lease-end/{lease}")
 async def end(app: StoreApp, call: HttpCall) -> HttpReply:
-    """End a lease."""
+    """End a lease and remove its keys."""
     refused = await app.admit(call)
     if refused is not None:
         return refused
@@ -258,21 +258,21 @@
 
 @routes.route("POST", "/faults")
 async def set_faults(app: StoreApp, call: HttpCall) -> HttpReply:
-    """Do wrong from now on."""
+    """Replace the faults to inject."""
     app.store.faults = msgspec.json.decode(call.body, type=StoreFaults)
     return reply_json({})
 
 
 @routes.route("POST", "/drop-history")
 async def drop_history(app: StoreApp, call: HttpCall) -> HttpReply:
-    """Forget all changes, as the platform may at any time."""
+    """Discard the history, as the platform may at any time."""
     app.store.drop_history()
     return reply_json({})
 
 
 @routes.route("POST", "/put")
 async def put(app: StoreApp, call: HttpCall) -> HttpReply:
-    """Write as the operator, or as any other writer."""
+    """Write one key, as the operator or any other writer does."""
     body = msgspec.json.decode(call.body)
     value = body["value"]
     raw = value.encode() if isinstance(value, str) else msgspec.json.encode(value)
@@ -281,6 +281,6 @@
 
 @routes.route("POST", "/remove")
 async def remove(app: StoreApp, call: HttpCall) -> HttpReply:
-    """Remove a key as the operator would."""
+    """Remove one key, as the operator does."""
     body = msgspec.json.decode(call.body)
     return reply_json({"revision": await app.store.apply([], [body["key"]])})
--- a/standins/platform_workers.py
+++ b/standins/platform_workers.py
@@ -1,7 +1,8 @@
-"""Stand-ins of the platform's workers: they run tasks as timers.
+"""Stand-ins for the platform's workers: they run tasks as timers.
 
-Each keeps fencing tokens, run numbers, leases and ends as the platform's workers
-do, guards no capacity, and notes what it was told that it should not have been.
+Each handles fencing tokens, run numbers, leases and ended runs as the platform's
+workers do. It starts tasks beyond its capacity and records starts that violate a
+rule as problems.
 """
 
 import asyncio
@@ -29,14 +30,15 @@
 ACCELERATORS = 8
 
 SLOW_CLOCK_RATE = 0.98
-"""Rate of the steady clock of every third worker: 2% slow is allowed."""
+"""Rate of the steady clock of every third worker: it may run up to 2% slow."""
 
 
 class WorkerFaults(msgspec.Struct):
-    """What to do wrong.
+    """Faults to inject.
 
-    ``late_share`` of the orders are carried out ``late_s`` seconds later without
-    an answer; ``reject`` starts; ``silent`` answers nothing.
+    ``late_share`` of the orders are carried out ``late_s`` seconds later and not
+    answered; ``reject`` refuses all starts; ``silent`` answers no call;
+    ``fail_share`` of the runs fail.
     """
 
     late_share: float = 0.0
@@ -47,15 +49,15 @@
 
 
 GANG_START_TIMEOUT_S = 3.0
-"""Seconds that a member of a gang waits for the others."""
+"""Seconds that a member of a gang waits for the other members to start."""
 
 
 @dataclasses.dataclass
 class Run:
-    """A task at work, or a member that waits for its gang.
+    """A running task, or a member of a gang that waits for the other members.
 
-    ``started_at`` is when it was started, ``running_since`` when the last member of
-    its gang had come.
+    ``started_at`` is when the start order was carried out, ``running_since`` when the
+    last member of its gang had started.
     """
 
     task: str
@@ -68,12 +70,12 @@
 
     @property
     def gang(self) -> tuple[str, int]:
-        """Return what the members of one run of a gang share."""
+        """Return the key that all members of one run of a gang share."""
         return self.task.rpartition(".")[0], self.run
 
 
 class Ledger:
-    """What all workers of a site have started and finished, for the checks."""
+    """What all workers of a site have started and finished, for tests to check."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -85,7 +87,7 @@
     def record_start(
         self, worker: "Worker", task: str, run: int, accelerators: int
     ) -> None:
-        """Check a start against everything that runs or is done."""
+        """Record a start, and a problem if it violates a rule."""
         used = sum(r.accelerators for r in worker.runs.values()) + accelerators
         if used > ACCELERATORS:
             self.problems.append(f"{task} run {run} brings its worker to {used}")
@@ -97,7 +99,7 @@
             self.problems.append(f"{task} run {run} started after it was done")
 
     def list_members(self, run: Run) -> list[tuple["Worker", Run]]:
-        """Return the members of a gang's run that are present."""
+        """Return the members of a gang's run that have started, with their workers."""
         return [
             (worker, other)
             for worker in self.workers
@@ -106,7 +108,7 @@
         ]
 
     def begin_run(self, run: Run, now: float) -> None:
-        """Let a task work, or its whole gang once the last member has come."""
+        """Start a task's timer, or those of its gang once all members have started."""
         if run.members == 1:
             run.running_since = now
             return
@@ -117,10 +119,10 @@
 
 
 class Worker:
-    """One worker."""
+    """A worker."""
 
     def __init__(self, number: int, address: str, ledger: Ledger, seed: int) -> None:
-        """Listen nowhere yet."""
+        """Prepare the worker; the caller makes its server listen."""
         self.worker_id = f"i-{number:04x}"
         self.address = address
         self.rack = f"r1-{number // 4}"
@@ -142,7 +144,7 @@
         return time.monotonic() * self.rate
 
     def describe(self, seq: int) -> dict[str, Any]:
-        """Return the entry under which the worker registers."""
+        """Return the entry with which the worker registers in the store."""
         return {
             "backend": "pool-a",
             "address": self.address,
@@ -158,7 +160,7 @@
         }
 
     async def end_due_runs(self) -> None:
-        """End what is done or has lapsed."""
+        """End runs that are done, have lost their lease or waited for their gang."""
         while True:
             await asyncio.sleep(0.02)
             now = time.monotonic()
@@ -175,7 +177,7 @@
                     await self.end(key, "failed" if failed else "done")
 
     async def end(self, key: tuple[str, int], how: str) -> None:
-        """List the end of a run, and of its gang with it."""
+        """End a run, and with it the other members of its gang."""
         ended = self.runs.pop(key)
         if ended.members > 1:
             shared = "done" if how == "done" else "broken"
@@ -195,7 +197,7 @@
             self.changed.notify_all()
 
     def check_call(self, call: HttpCall, token: int) -> HttpReply | None:
-        """Return the refusal of a call that is not for this incarnation or leader."""
+        """Return a rejection if a call is for another incarnation or is fenced off."""
         requested = call.headers.get("x-target-instance", self.worker_id)
         if requested != self.worker_id:
             return HttpReply(421)
@@ -205,20 +207,20 @@
         return None
 
     def reply(self, status: int = 200, **fields: Any) -> HttpReply:
-        """Return an answer with the worker's clock."""
+        """Return an answer that carries the worker's clock."""
         return reply_json(
             {"clock_ms": self.read_clock() * 1000, **fields}, status=status
         )
 
     def extend_lease(self, deadline_ms: float) -> None:
-        """Lengthen the lease of everything."""
+        """Extend the lease of all runs, to at most 10 s from now."""
         limit = self.read_clock() + 10.0
         self.lease_expires_at = max(
             self.lease_expires_at, min(deadline_ms / 1000, limit)
         )
 
     async def delay(self, call: HttpCall) -> bool:
-        """Wait as the faults ask; tell whether the answer is to be withheld."""
+        """Apply the faults; return whether the answer must be withheld."""
         if self.faults.silent:
             await call.gone.wait()
             return True
@@ -230,7 +232,7 @@
 
 @routes.route("POST", "/-/run-start")
 async def start(worker: Worker, call: HttpCall) -> HttpReply:
-    """Begin a task."""
+    """Start a run of a task."""
     body = msgspec.json.decode(call.body)
     withheld = await worker.delay(call)
     reply = worker.check_call(call, body["fencing_token"]) or _start_run(worker, body)
@@ -259,7 +261,7 @@
 
 @routes.route("POST", "/-/run-stop")
 async def stop(worker: Worker, call: HttpCall) -> HttpReply:
-    """End a task."""
+    """Stop all runs of a task, and reject start orders up to this run number."""
     body = msgspec.json.decode(call.body)
     withheld = await worker.delay(call)
     reply = worker.check_call(call, body["fencing_token"])
@@ -276,7 +278,7 @@
 
 @routes.route("POST", "/-/hold")
 async def hold(worker: Worker, call: HttpCall) -> HttpReply:
-    """List what runs and what has ended."""
+    """Extend the lease and return the running and ended runs, waiting for an end."""
     body = msgspec.json.decode(call.body)
     if worker.faults.silent:
         await call.gone.wait()
@@ -305,6 +307,6 @@
 
 @routes.route("POST", "/faults")
 async def set_faults(worker: Worker, call: HttpCall) -> HttpReply:
-    """Do wrong from now on."""
+    """Replace the faults to inject."""
     worker.faults = msgspec.json.decode(call.body, type=WorkerFaults)
     return reply_json({})
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback whose links can be made to misbehave."""
+"""A TCP proxy on loopback that injects network faults into its links."""
 
 import asyncio
 import contextlib
@@ -13,11 +13,11 @@
 
 
 class Mode(enum.Enum):
-    """What a link does with bytes.
+    """How a link treats bytes.
 
-    SILENT holds them back both ways, ONE_WAY only those of the answers; both let
-    them through when the mode changes. HUSHED drops what open connections carry
-    for good, without a reset, while new ones work.
+    SILENT holds back bytes in both directions and ONE_WAY those of responses, until
+    the mode changes. BLACKHOLED drops all bytes of the connections open now, for
+    good and without a reset, while new connections work.
     """
 
     PASS = "pass"
@@ -28,10 +28,10 @@
 
 
 class Link:
-    """One listener that passes connections on to one address."""
+    """A listener that forwards its connections to one address."""
 
     def __init__(self, listen: str, forward: str) -> None:
-        """Pass connections on unharmed."""
+        """Forward connections without faults."""
         self.listen = listen
         self.forward = forward
         self.mode = Mode.PASS
@@ -44,7 +44,7 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Carry one connection to its end."""
+        """Forward one connection until it closes."""
         host, port = split_address(self.forward)
         try:
             upstream_reader, upstream_writer = await asyncio.open_connection(host, port)
@@ -88,13 +88,13 @@
             writer.close()
 
     async def _throttle(self, size: int, rate_bytes_s: float) -> None:
-        """Wait until bytes have come through; all connections share the link."""
+        """Wait for the bytes' transmission time on the link all connections share."""
         now = asyncio.get_running_loop().time()
         self._link_free_at = max(now, self._link_free_at) + size / rate_bytes_s
         await asyncio.sleep(self._link_free_at - now)
 
     def blackhole_connections(self) -> None:
-        """Let the open connections fall silent for good."""
+        """Drop everything on the open connections from now on."""
         self.blackholed.update(id(writer) for writer in self.writers)
 
     def reset(self) -> None:
@@ -106,7 +106,7 @@
 
 
 class Proxy:
-    """All links of a run, in a thread with a loop of its own."""
+    """All links of a run, in a thread with its own event loop."""
 
     def __init__(self) -> None:
         """Start without links."""
@@ -117,7 +117,7 @@
         self._thread.start()
 
     def add(self, name: str, listen: str, forward: str) -> Link:
-        """Open a link."""
+        """Open and return a link from ``listen`` to ``forward``."""
         link = self.links[name] = Link(listen, forward)
         host, port = split_address(listen)
         start = asyncio.start_server(link.serve, host, port)
@@ -126,7 +126,7 @@
         return link
 
     def set_mode(self, name: str, mode: Mode, *, delay_s: float = 0.0) -> None:
-        """Change what a link does from now on."""
+        """Set the mode of a link; BLACKHOLED affects its open connections only."""
         link = self.links[name]
 
         def change() -> None:
@@ -138,7 +138,7 @@
         self._loop.call_soon_threadsafe(change)
 
     def limit(self, name: str, *, mbps: float) -> None:
-        """Let answers through at a rate, in Mbit/s."""
+        """Limit the responses on a link to a rate in Mbit/s."""
         self.links[name].rate_bytes_s = mbps * 1e6 / 8
 
     def reset(self, name: str) -> None:
@@ -146,10 +146,10 @@
         self._loop.call_soon_threadsafe(self.links[name].reset)
 
     def close(self) -> None:
-        """Stop passing anything on, and wait for the connections to end."""
+        """Close all links and wait for their connections to end."""
 
         async def cancel_all() -> None:
-            # Left open, they would hold their ports against the next run's proxy.
+            # Open servers would keep their ports bound against the next run's proxy.
             for server in self._servers:
                 server.close()
             others = asyncio.all_tasks() - {asyncio.current_task()}
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -1,11 +1,11 @@
-"""A randomised soak: real processes, faults from outside, promises checked.
+"""A randomised soak test: real processes, injected faults, checked guarantees.
 
     python -m standins.soak --seed 7 --seconds 20
 
-Nodes run as processes over the platform's stand-ins; a proxy stands before the
-store (a link for each node) and before each worker. A seeded schedule injects
-overlapping faults while clients submit, repeat, ask and cancel over connections
-that they keep. What is checked is what callers and workers see.
+Nodes run as processes against the platform's stand-ins; each node reaches the store
+through a proxy link of its own, and each worker is reached through one. A seeded
+schedule injects overlapping faults while clients submit, repeat, query and cancel
+jobs over persistent connections. Only what callers and workers see is checked.
 """
 
 import argparse
@@ -28,12 +28,12 @@
 from .site import call
 
 JOB_END_TIMEOUT_S = 60.0
-"""Seconds without the end of any job after which those left count as stuck: the
-longest lease, what a leader goes on without the store, late orders, and the work."""
+"""Seconds without the end of any job after which the remaining jobs count as stuck:
+the longest lease, a leader's time without the store, late orders and run times."""
 
 READY_TIMEOUT_S = 40.0
-"""Seconds after the last fault within which each node is ready: a lease, a late
-order's bound and a restart, on a machine that is busy."""
+"""Seconds after the last fault within which each node must be ready: a lease, the
+bound of a late order and a restart, on a busy machine."""
 
 MAX_ANSWER_S = 10.0
 CLIENT_COUNT = 4
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass
 class Submission:
-    """A job as its client knows it."""
+    """A job and what its client knows of it."""
 
     job_id: str
     tasks: int
@@ -55,10 +55,10 @@
 
 
 class Client(threading.Thread):
-    """Submits jobs one after the other over a connection that it keeps."""
+    """Submits jobs one after the other over a persistent connection per node."""
 
     def __init__(self, site: PlatformSite, rng: random.Random, number: int) -> None:
-        """Prepare a client of its own stream of jobs."""
+        """Prepare a client whose job ids begin at ``number << 32``."""
         super().__init__(daemon=True)
         self.site = site
         self.rng = rng
@@ -70,7 +70,7 @@
         self._connections: dict[int, http.client.HTTPConnection] = {}
 
     def run(self) -> None:
-        """Submit, ask and cancel until told to stop."""
+        """Submit, query and cancel jobs until stopped."""
         while not self.stop.is_set():
             self._submit()
             for job in self.rng.sample(self.jobs, min(3, len(self.jobs))):
@@ -82,7 +82,7 @@
     def _submit(self) -> None:
         count = self.rng.randint(1, 4)
         gang = self.rng.random() < 0.4
-        # A gang of four whole workers would fit nowhere, and rightly wait.
+        # A gang that takes four whole workers would fit nowhere and wait forever.
         gpu = self.rng.choice([1, 2, 4] if gang else [1, 2, 4, 8])
         job = Submission(f"{next(self.numbers):016x}", count)
         self.jobs.append(job)
@@ -106,7 +106,7 @@
     def _query(self, job: Submission) -> None:
         status = self._call("GET", job)
         if status == 410 and job.accepted:
-            self.problems.append(f"{job.job_id} was accepted and is answered 410")
+            self.problems.append(f"{job.job_id} was accepted but is answered 410")
         if status != 200:
             return
         state = self.last["state"]
@@ -114,7 +114,7 @@
         if job.last_state in ended and state != job.last_state:
             self.problems.append(f"{job.job_id} was {job.last_state}, is now {state}")
         if state == "cancelled" and not job.cancelled:
-            self.problems.append(f"{job.job_id} is shown as cancelled, and is not")
+            self.problems.append(f"{job.job_id} is shown as cancelled but was not")
         job.last_state = state
         if state == "completed":
             done = self.site.read_ledger()["done"]
@@ -123,7 +123,7 @@
                 self.problems.append(f"{job.job_id} completed with {found} done")
 
     def _cancel(self, job: Submission) -> None:
-        # Whatever the answer, the cancellation may have been stored.
+        # The cancellation may have been stored whatever the answer is.
         job.cancelled = True
         self._call("DELETE", job)
 
@@ -160,18 +160,18 @@
 
 
 def fault(function: Fault) -> Fault:
-    """Register a fault: it begins, and returns what ends it."""
+    """Register a fault: a function that starts it and returns one that ends it."""
     FAULTS[function.__name__] = function
     return function
 
 
 class Soak:
-    """One seeded run."""
+    """A soak run with one seed."""
 
     def __init__(
         self, seed: int, *, nodes: int = 3, workers: int = 3, domains: int = 1
     ) -> None:
-        """Start the processes, unharmed, with the nodes in ``domains`` by turns."""
+        """Start all processes; nodes take the failure domains in rotation."""
         self.rng = random.Random(seed)
         self.proxy = Proxy()
         names = tuple(f"domain-{n}" for n in range(domains))
@@ -187,7 +187,7 @@
         ]
 
     def run(self, seconds: float) -> list[str]:
-        """Inject faults for a while; return the promises that were broken."""
+        """Inject faults for ``seconds``; return the problems that were found."""
         for client in self.clients:
             client.start()
         started_at = time.monotonic()
@@ -210,10 +210,10 @@
         return self._check_jobs()
 
     def _restart_ended_nodes(self) -> None:
-        """Start nodes again that ended, as the platform does; say how they ended.
+        """Restart nodes that ended, as the platform does, and record why they ended.
 
-        A signal to reload ends a process whose interpreter has not yet run a line:
-        nothing can handle it there. Any other end that no fault asked for is a problem.
+        SIGHUP ends a process whose interpreter has not yet run a line, because no
+        handler can be set before. Any other end that no fault caused is a problem.
         """
         for number, node in enumerate(self.site.nodes):
             code = node.process.poll()
@@ -223,7 +223,7 @@
             if code == -signal.SIGHUP and not node.has_logged():
                 self.log.append(f"{how} before its first line, and was started again")
             else:
-                self.problems.append(f"{how}, which no fault asked for")
+                self.problems.append(f"{how}, which no fault caused")
             node.restart()
 
     def _wait_until_ready(self) -> None:
@@ -255,7 +255,7 @@
         while waiting and time.monotonic() < end:
             left = [j for j in waiting if not self._has_ended(j)]
             if len(left) < len(waiting):
-                # More may have been accepted than the workers do in a minute.
+                # The accepted jobs may take the workers longer than one timeout.
                 end = time.monotonic() + JOB_END_TIMEOUT_S
             waiting = left
             time.sleep(0.3)
@@ -264,13 +264,13 @@
         problems += ledger["problems"]
         started = {task.split(".")[0] for task, _, _ in ledger["starts"]}
         problems += [
-            f"{j.job_id} was refused and has run"
+            f"{j.job_id} was rejected but has run"
             for j in jobs
             if j.refused and not j.accepted and j.job_id in started
         ]
         running = {t.split(".")[0] for ts in ledger["running"].values() for t in ts}
         problems += [
-            f"{j.job_id} was cancelled and runs"
+            f"{j.job_id} was cancelled but is running"
             for j in jobs
             if j.last_state == "cancelled" and j.job_id in running
         ]
@@ -283,7 +283,7 @@
         return status == 200 and job.last_state in ("completed", "failed", "cancelled")
 
     def close(self, *, keep: bool) -> None:
-        """End every process that this run started."""
+        """Stop all processes of this run; delete its files unless ``keep``."""
         for number in self.down:
             self.site.nodes[number].signal(signal.SIGCONT)
         self.site.stop()
@@ -292,12 +292,12 @@
             shutil.rmtree(self.site.directory, ignore_errors=True)
 
     def choose_link(self, prefix: str) -> str:
-        """Return the name of a link."""
+        """Return a random link whose name has this prefix."""
         names = [n for n in sorted(self.proxy.links) if n.startswith(prefix)]
         return self.rng.choice(names)
 
     def choose_node(self) -> int | None:
-        """Return a node that no signal holds at the moment."""
+        """Return a random node that no fault affects, or None to leave one up."""
         up = [n for n in range(len(self.site.ips)) if n not in self.down]
         return self.rng.choice(up) if len(up) > 1 else None
 
@@ -311,26 +311,26 @@
 
 @fault
 def harm_store_link(soak: Soak) -> Callable[[], None]:
-    """Let one node's way to the store misbehave."""
+    """Inject a network fault between one node and the store."""
     return _degrade_link(soak, "store")
 
 
 @fault
 def harm_worker_link(soak: Soak) -> Callable[[], None]:
-    """Let the way to one worker misbehave."""
+    """Inject a network fault between the nodes and one worker."""
     return _degrade_link(soak, "worker")
 
 
 @fault
 def reset_links(soak: Soak) -> Callable[[], None]:
-    """Reset the connections of one link."""
+    """Reset the open connections of one link."""
     soak.proxy.reset(soak.choose_link(""))
     return lambda: None
 
 
 @fault
 def kill_node(soak: Soak) -> Callable[[], None]:
-    """Kill a node; it is started again."""
+    """Kill a node, and restart it later."""
     number = soak.choose_node()
     if number is None:
         return lambda: None
@@ -341,7 +341,7 @@
 
 @fault
 def stop_node(soak: Soak) -> Callable[[], None]:
-    """Ask a node to leave; it is started again."""
+    """Terminate a node gracefully, and restart it later."""
     number = soak.choose_node()
     if number is None:
         return lambda: None
@@ -362,7 +362,7 @@
 
 @fault
 def pause_node(soak: Soak) -> Callable[[], None]:
-    """Freeze a node for a while, leases and all."""
+    """Suspend a node for a while, so that its leases may expire."""
     number = soak.choose_node()
     if number is None:
         return lambda: None
@@ -378,7 +378,7 @@
 
 @fault
 def reload_node(soak: Soak) -> Callable[[], None]:
-    """Tell a node that its settings have changed."""
+    """Send a node the signal to reload its settings."""
     number = soak.choose_node()
     if number is not None:
         soak.site.nodes[number].signal(signal.SIGHUP)
@@ -387,7 +387,7 @@
 
 @fault
 def harm_store(soak: Soak) -> Callable[[], None]:
-    """Let the store itself misbehave for all."""
+    """Inject a fault into the store, for all callers."""
     faults = soak.rng.choice(
         [
             {"busy": True},
@@ -403,14 +403,14 @@
 
 @fault
 def drop_history(soak: Soak) -> Callable[[], None]:
-    """Let the store forget its history."""
+    """Make the store discard its history."""
     call(soak.site.store, "POST", "/drop-history", {})
     return lambda: None
 
 
 @fault
 def harm_worker(soak: Soak) -> Callable[[], None]:
-    """Let a worker carry orders out late, reject them or fail its tasks."""
+    """Make a worker carry out orders late, reject starts or fail its tasks."""
     number = soak.rng.randrange(len(soak.site.workers))
     faults = soak.rng.choice(
         [
@@ -425,16 +425,16 @@
 
 @fault
 def change_configuration(soak: Soak) -> Callable[[], None]:
-    """Put a newer configuration in force."""
+    """Store a newer version of the configuration."""
     soak.site.configuration["version"] += soak.rng.randint(1, 5)
     soak.site.configure()
     return lambda: None
 
 
 def run_seed(seed: int, seconds: float, *, domains: int = 1) -> bool:
-    """Play one seed; print what was broken, and tell whether nothing was."""
+    """Run one seed, print the problems and return whether there were none."""
     soak = Soak(seed, domains=domains)
-    problems = ["the soak itself did not end"]
+    problems = ["the soak run was aborted"]
     try:
         problems = soak.run(seconds)
     finally:
@@ -456,10 +456,14 @@
 
 
 def main() -> int:
-    """Play the seeds that the arguments name."""
+    """Run the seeds given on the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seed", type=int, default=None, help="one seed")
-    parser.add_argument("--seeds", type=int, default=1, help="fresh seeds in a row")
+    parser.add_argument(
+        "--seed", type=int, default=None, help="first seed; default: the time"
+    )
+    parser.add_argument(
+        "--seeds", type=int, default=1, help="number of consecutive seeds"
+    )
     parser.add_argument("--seconds", type=float, default=15.0)
     parser.add_argument("--domains", type=int, default=1, help="failure domains")
     options = parser.parse_args()
