--- a/features/platform_soak.feature
+++ b/features/platform_soak.feature
@@ -1,23 +1,24 @@
 Feature: Promises hold while everything misbehaves
 
   Scenario Outline: A seeded soak of overlapping faults breaks no promise
-    Nodes are killed, stopped, frozen and reloaded; their ways to the store and to
-    workers are delayed, silent, cut one way or reset; the store and the workers lose
-    or delay what they do. Clients keep their connections and repeat what is unknown.
-    A user would notice a lost, doubled or falsely refused job.
-    When the soak plays seed <seed> for <length> s
+    Nodes are killed, stopped, suspended and reloaded. Their links to the store and to
+    workers are delayed, stalled in one or both directions or reset. The store and the
+    workers lose answers and carry out calls late. Clients keep their connections and
+    repeat submissions with an unknown outcome. The soak finds jobs that are lost, that
+    run twice or that run after they were rejected.
+    When the soak runs with seed <seed> for <length> s
     Then no promise was broken
 
     Examples:
       | seed | length | why it is kept                                                   |
       | 1    | 8      | a gang of the stand-ins ended in parts                           |
       | 2    | 8      | the short run of every check                                     |
-      | 116  | 12     | a job shown as cancelled was shown as running by a leader after  |
-      | 231  | 12     | a completed job was shown as running while its gang's ends came  |
+      | 116  | 12     | a later leader showed a cancelled job as running                 |
+      | 231  | 12     | a completed job was shown as running while its gang ended        |
 
   Scenario: A soak over three failure domains breaks no promise
-    A node that hears of no other domain and of no store tells its callers to go
-    elsewhere. Frozen peers and a silent store look the same for moments: a caller that
-    was told "not run" then must not find its job done.
-    When the soak plays seed 300 for 10 s in 3 failure domains
+    A node that reaches neither another domain nor the store rejects its callers. For a
+    moment, suspended peers and a silent store look like that: a job that was rejected
+    as "not run" then must not have run.
+    When the soak runs with seed 300 for 10 s in 3 failure domains
     Then no promise was broken
--- a/features/protocol_standins.feature
+++ b/features/protocol_standins.feature
@@ -1,8 +1,8 @@
 Feature: Stand-in workers save, slow and forget as real ones do
 
   Scenario: A restarted member goes on from its checkpoint
-    A rebuild is moved to other workers an hour before its end. If its progress
-    were lost, each move would cost the squad the whole night.
+    A long job is moved to other workers shortly before its end. Without its saved
+    progress, each move would cost the whole run time.
     Given a protocol stand-in worker with a task of 100 s of work
     When 60 s of the protocol task are done and saved
     Then the next attempt on another protocol worker has 40 s left
@@ -13,8 +13,8 @@
     Then the protocol task has 200 s left
 
   Scenario: A worker that was paused past a lease does not renew it
-    A worker hangs while a renewal waits in its socket. Obeying it first would
-    keep a member running whose gang was ended long ago.
+    A worker hangs while a renewal waits in its socket. Handling the renewal before
+    the expiry would keep a member running whose gang ended long ago.
     Given a protocol stand-in worker with a task of 100 s of work
-    When the protocol lease has lapsed and a renewal that waited is obeyed
+    When the protocol lease has expired and a delayed renewal is handled
     Then the protocol task has ended as "lapsed"
--- a/features/steps/platform_soak_steps.py
+++ b/features/steps/platform_soak_steps.py
@@ -5,24 +5,26 @@
 
 from standins.site import ROOT
 
-LIMIT_S = 240
+SOAK_TIMEOUT_S = 240
 
 
-@when("the soak plays seed {seed:d} for {seconds:d} s in {domains:d} failure domains")
-def play_domains(context, seed, seconds, domains):
-    play(context, seed, seconds, domains)
+@when(
+    "the soak runs with seed {seed:d} for {seconds:d} s in {domains:d} failure domains"
+)
+def run_soak_over_domains(context, seed, seconds, domains):
+    run_soak(context, seed, seconds, domains)
 
 
-@when("the soak plays seed {seed:d} for {seconds:d} s")
-def play(context, seed, seconds, domains=1):
+@when("the soak runs with seed {seed:d} for {seconds:d} s")
+def run_soak(context, seed, seconds, domains=1):
     command = [sys.executable, "-m", "standins.soak"]
     command += [f"--seed={seed}", f"--seconds={seconds}", f"--domains={domains}"]
     context.soak = subprocess.run(
-        command, cwd=ROOT, capture_output=True, text=True, timeout=LIMIT_S
+        command, cwd=ROOT, capture_output=True, text=True, timeout=SOAK_TIMEOUT_S
     )
 
 
 @then("no promise was broken")
-def check(context):
+def check_no_problems(context):
     assert context.soak.returncode == 0, context.soak.stdout + context.soak.stderr
     assert "0 problems" in context.soak.stdout, context.soak.stdout
--- a/features/steps/protocol_standin_steps.py
+++ b/features/steps/protocol_standin_steps.py
@@ -11,8 +11,8 @@
 from standins import worker as standin
 
 
-def obey(context, handler, name, **body):
-    """Let the worker's own handler answer a call."""
+def call_worker(context, handler, name, **body):
+    """Call a handler of the worker and check that it accepts."""
     call = SimpleNamespace(
         body=json.dumps(body).encode(), params={"task": name}, source_ip="", query={}
     )
@@ -20,7 +20,7 @@
     assert reply.status == 200, reply
 
 
-def begin(context, attempt):
+def start_attempt(context, attempt):
     context.worker = standin.Worker(f"w{attempt}", 8, context.checkpoints)
     context.task = f"job.0.a{attempt}"
     spec = ReserveTask(
@@ -35,14 +35,14 @@
         run_time_s=100.0,
         ttl_s=30.0,
     )
-    obey(
+    call_worker(
         context, standin.reserve, context.task, **json.loads(msgspec.json.encode(spec))
     )
-    obey(context, standin.start, context.task, epoch=1)
+    call_worker(context, standin.start, context.task, epoch=1)
     return context.worker.tasks[context.task]
 
 
-def read_left(context):
+def read_remaining_s(context):
     return context.worker.tasks[context.task].ends_at - time.monotonic()
 
 
@@ -51,36 +51,36 @@
     directory = tempfile.TemporaryDirectory()
     context.add_cleanup(directory.cleanup)
     context.checkpoints = directory.name
-    begin(context, 1)
+    start_attempt(context, 1)
 
 
 @when("60 s of the protocol task are done and saved")
-def save(context):
+def save_progress(context):
     context.worker.tasks[context.task].ends_at -= 60
-    obey(context, standin.checkpoint, context.task, epoch=1)
+    call_worker(context, standin.checkpoint, context.task, epoch=1)
 
 
-@then("the next attempt on another protocol worker has {left_s:g} s left")
-def check_next(context, left_s):
-    begin(context, 2)
-    check_left(context, left_s)
+@then("the next attempt on another protocol worker has {remaining_s:g} s left")
+def check_next_attempt(context, remaining_s):
+    start_attempt(context, 2)
+    check_remaining(context, remaining_s)
 
 
 @when("the protocol task is throttled to half its speed")
-def slow_down(context):
-    obey(context, standin.throttle, context.task, epoch=1, speed=0.5)
+def throttle_task(context):
+    call_worker(context, standin.throttle, context.task, epoch=1, speed=0.5)
 
 
-@then("the protocol task has {left_s:g} s left")
-def check_left(context, left_s):
-    assert abs(read_left(context) - left_s) < 5, read_left(context)
+@then("the protocol task has {remaining_s:g} s left")
+def check_remaining(context, remaining_s):
+    assert abs(read_remaining_s(context) - remaining_s) < 5, read_remaining_s(context)
 
 
-@when("the protocol lease has lapsed and a renewal that waited is obeyed")
-def renew_late(context):
+@when("the protocol lease has expired and a delayed renewal is handled")
+def renew_after_expiry(context):
     context.worker.tasks[context.task].lease_expires_at = time.monotonic() - 1
     body = {"epoch": 1, "ttl_s": 30.0, "confirm": [context.task]}
-    obey(context, standin.renew, context.task, **body)
+    call_worker(context, standin.renew, context.task, **body)
 
 
 @then('the protocol task has ended as "{state}"')
