--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -87,7 +87,7 @@
         return await self.apply([{"key": key, "value": encode_value(value)}], [])
 
     async def expire_leases(self) -> None:
-        """Remove expired leases and their keys, forever."""
+        """Remove expired leases and their keys periodically."""
         while True:
             await asyncio.sleep(0.05)
             now = time.monotonic()
--- a/standins/platform_workers.py
+++ b/standins/platform_workers.py
@@ -160,7 +160,7 @@
         }
 
     async def end_due_runs(self) -> None:
-        """End runs that are done, have lost their lease or waited for their gang."""
+        """End runs that are done, lost their lease or waited too long for members."""
         while True:
             await asyncio.sleep(0.02)
             now = time.monotonic()
@@ -219,7 +219,7 @@
             self.lease_expires_at, min(deadline_ms / 1000, limit)
         )
 
-    async def delay(self, call: HttpCall) -> bool:
+    async def apply_faults(self, call: HttpCall) -> bool:
         """Apply the faults; return whether the answer must be withheld."""
         if self.faults.silent:
             await call.gone.wait()
@@ -234,7 +234,7 @@
 async def start(worker: Worker, call: HttpCall) -> HttpReply:
     """Start a run of a task."""
     body = msgspec.json.decode(call.body)
-    withheld = await worker.delay(call)
+    withheld = await worker.apply_faults(call)
     reply = worker.check_call(call, body["fencing_token"]) or _start_run(worker, body)
     if withheld:
         await call.gone.wait()
@@ -263,7 +263,7 @@
 async def stop(worker: Worker, call: HttpCall) -> HttpReply:
     """Stop all runs of a task, and reject start orders up to this run number."""
     body = msgspec.json.decode(call.body)
-    withheld = await worker.delay(call)
+    withheld = await worker.apply_faults(call)
     reply = worker.check_call(call, body["fencing_token"])
     if reply is None:
         task = body["task"]
@@ -294,12 +294,12 @@
                 await asyncio.wait_for(worker.changed.wait(), body["wait_ms"] / 1000)
     now = time.monotonic()
     running = [
-        [r.task, r.run, "", _compute_progress(r, now)] for r in worker.runs.values()
+        [r.task, r.run, "", _compute_percent_done(r, now)] for r in worker.runs.values()
     ]
     return worker.reply(running=running, ended=worker.ended)
 
 
-def _compute_progress(run: Run, now: float) -> int:
+def _compute_percent_done(run: Run, now: float) -> int:
     if run.running_since is None:
         return 0
     return min(99, int(100 * (now - run.running_since) / max(run.run_time_s, 0.001)))
--- a/standins/store.py
+++ b/standins/store.py
@@ -86,7 +86,7 @@
         return applied
 
     async def expire_leases(self) -> None:
-        """Remove expired leases and their keys, forever."""
+        """Remove expired leases and their keys periodically."""
         while True:
             await asyncio.sleep(0.05)
             now = time.monotonic()
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -143,7 +143,7 @@
             )
 
     async def run(self) -> None:
-        """End tasks that are done or whose lease has expired, forever."""
+        """End tasks that are done or whose lease has expired, periodically."""
         while True:
             await asyncio.sleep(0.02)
             await self.end_due()
@@ -277,7 +277,7 @@
 
 @task_command("start", StartTask)
 async def start(worker: Worker, task: Task, req: StartTask) -> None:
-    """Run a reserved task."""
+    """Start a held task."""
     if worker.behaviour.never_start or task.state != "held":
         return
     now = time.monotonic()
