--- a/features/steps/engine_idle_steps.py
+++ b/features/steps/engine_idle_steps.py
@@ -9,7 +9,7 @@
 
 def submit(context, name, step, *, takes_s, priority=1):
     engine = context.engine
-    engine.core.runtimes[f"q{priority}", 0] = takes_s
+    engine.core.run_times[f"q{priority}", 0] = takes_s
     engine.submit(make_job(name, step, priority=priority, at=engine.now))
 
 
--- a/features/steps/engine_policy_steps.py
+++ b/features/steps/engine_policy_steps.py
@@ -36,7 +36,7 @@
     job = make_job(name, step, priority=priority, at=at)
     engine.submit(dataclasses.replace(job, organisation=owner, stretch=1.5, slo_s=0.25))
     if takes_s is not None:
-        engine.core.runtimes[f"q{priority}", 0] = takes_s
+        engine.core.run_times[f"q{priority}", 0] = takes_s
 
 
 def start_now(context):
@@ -230,7 +230,7 @@
 @given("a job that {saves} its progress and takes 10 s has worked for 2 s")
 def work_some(context, saves):
     submit(context, "leaving", make_step(checkpoints=saves == "saves"), priority=1)
-    context.engine.core.runtimes["q1", 0] = 10.0
+    context.engine.core.run_times["q1", 0] = 10.0
     start_now(context)
     context.engine.now += 2.0
 
--- a/src/firladder/_internal/engine/reports.py
+++ b/src/firladder/_internal/engine/reports.py
@@ -203,5 +203,5 @@
             return
         key = (unit.job.accepted.queue, unit.step_index)
         spent = now - placement.active_at
-        former = self.runtimes.get(key, spent)
-        self.runtimes[key] = former + 0.2 * (spent - former)
+        former = self.run_times.get(key, spent)
+        self.run_times[key] = former + 0.2 * (spent - former)
--- a/src/firladder/_internal/engine/runs.py
+++ b/src/firladder/_internal/engine/runs.py
@@ -46,7 +46,7 @@
         self.dirty: dict[str, Job] = {}
         self.starts: list[Placement] = []
         self.stops: list[Placement] = []
-        self.runtimes: dict[tuple[str, int], float] = {}
+        self.run_times: dict[tuple[str, int], float] = {}
         self.speeds = Speeds()
         self.early_cancels: set[str] = set()
         self.evacuated: frozenset[str] = frozenset()
@@ -227,7 +227,7 @@
         The declared time serves only until a run time is learned: it is far off.
         """
         key = (unit.job.accepted.queue, unit.step_index)
-        return self.runtimes.get(key, unit.step.estimate_s)
+        return self.run_times.get(key, unit.step.estimate_s)
 
     def _activate(
         self, placement: Placement, now: float, *, worked_s: float = 0.0
