--- a/src/firladder/_internal/evaluation/requests.py
+++ b/src/firladder/_internal/evaluation/requests.py
@@ -196,7 +196,7 @@
         )
         failure = gateway.queues.admit(
             req,
-            room=gateway.table.measure_capacity(
+            slot_count=gateway.table.measure_capacity(
                 SERVICE, MATCH_ALL, self._configuration
             ),
             in_flight=gateway.in_flight,
