--- a/src/firladder/_internal/policies/backfill.py
+++ b/src/firladder/_internal/policies/backfill.py
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reservation:
-    """Workers kept for a waiting gang, and when it is expected to start.
+    """Workers reserved for a waiting gang, and when it is expected to start.
 
     With ``drain`` even short jobs are not backfilled, so that nothing delays the gang.
     """
@@ -179,18 +179,22 @@
         self, spec: JobSpec, group: Sequence[FreeCapacity]
     ) -> tuple[float, tuple[str, ...]] | None:
         """Return the earliest start of the gang in the group, and its workers."""
-        most = max((_count_members_when_empty(spec, c) for c in group), default=0)
-        if most == 0:
+        max_members = max(
+            (_count_members_when_empty(spec, c) for c in group), default=0
+        )
+        if max_members == 0:
             return None
-        each = min(most, spec.members)
+        members_each = min(max_members, spec.members)
         times = sorted(
             (
-                self._find_start(self.plan.worker_plans[c.view.name], spec, each),
+                self._find_start(
+                    self.plan.worker_plans[c.view.name], spec, members_each
+                ),
                 c.view.name,
             )
             for c in group
         )
-        needed = -(-spec.members // each)
+        needed = -(-spec.members // members_each)
         if len(times) < needed:
             return None
         return times[needed - 1][0], tuple(name for _, name in times[:needed])
--- a/src/firladder/_internal/policies/cells.py
+++ b/src/firladder/_internal/policies/cells.py
@@ -77,6 +77,7 @@
         ]
         self.slots = list_slots(view.organisations, view.failure_domain, everywhere)
         self.bound: dict[CellSlot, BoundSlot] = {}
+        # By worker: accelerators that no bound cell takes.
         self.capacity: dict[str, int] = {}
         self._bind_running()
         self.packing = self.pack(lambda _: 0.0)
--- a/src/firladder/_internal/policies/configuration_changes.py
+++ b/src/firladder/_internal/policies/configuration_changes.py
@@ -27,7 +27,7 @@
 from .cell_packing import place_cells
 from .selectors import parse_selector
 
-PART_TYPES: dict[str, type] = {
+KIND_TYPES: dict[str, type] = {
     "organisation": Organisation,
     "rule": Rule,
     "labels": Labels,
@@ -128,7 +128,7 @@
     if bytes(change.value) == b"null":
         parts[change.kind].pop(change.name, None)
         return None
-    value = decode_json(bytes(change.value), PART_TYPES[change.kind])
+    value = decode_json(bytes(change.value), KIND_TYPES[change.kind])
     if isinstance(value, MalformedBody):
         inner = f".{value.field}" if value.field else ""
         return msgspec.structs.replace(value, field=f"{field}.value{inner}")
--- a/src/firladder/_internal/policies/membership.py
+++ b/src/firladder/_internal/policies/membership.py
@@ -105,7 +105,7 @@
 
 
 def find_lost(view: FleetView) -> set[str]:
-    """Return the peers that have not been heard for too long."""
+    """Return the peers that have been silent for too long, and so count as lost."""
     close, others, far = view.split()
     near_rotation_periods = max(1, math.ceil(len(others) / NEAR_FANOUT))
     silent = {p.address for p in close if _is_silent(view, p.heard_at, 1)}
--- a/src/firladder/_internal/policies/preemption.py
+++ b/src/firladder/_internal/policies/preemption.py
@@ -18,9 +18,10 @@
         self.plan = plan
         self.victims: dict[str, Preempt] = {}
         self._guaranteed = plan.list_guaranteed()
-        self._promised: dict[str, int] = {}
+        # By worker: accelerators that victims still hold and owners' jobs will get.
+        self._promised_accelerators: dict[str, int] = {}
         self._losses = {
-            g.spec.id: 0.0 if g.stopping else count_loss(g, plan.view.now)
+            g.spec.id: 0.0 if g.stopping else estimate_loss(g, plan.view.now)
             for g in plan.view.running
         }
 
@@ -40,11 +41,11 @@
             if self.is_borrower(g) and g.spec.id not in self.victims
         )
 
-    def _count_victims_loss(self, worker: str, job: QueuedJob) -> float:
+    def _estimate_victims_loss(self, worker: str, job: QueuedJob) -> float:
         victims = self._choose_victims(worker, job, job.spec.members)
         return sum(self._losses[g.spec.id] for g in victims)
 
-    def _count_added_loss(self, worker: str, lost: set[str]) -> float:
+    def _estimate_added_loss(self, worker: str, lost: set[str]) -> float:
         return sum(
             self._losses[g.spec.id]
             for g, _ in self.plan.worker_plans[worker].holds
@@ -61,7 +62,7 @@
             count * spec.accelerators
             - len(worker_plan.room.free)
             - sum(n for _, n in stopping)
-            + self._promised.get(worker, 0)
+            + self._promised_accelerators.get(worker, 0)
         )
         cpus = count * spec.cpus - worker_plan.room.cpus - _sum_cpus(stopping)
         memory = (
@@ -90,7 +91,7 @@
         return self._losses[gang.spec.id] / max(1, held), gang.spec.id
 
 
-def count_loss(gang: RunningJob, now: float) -> float:
+def estimate_loss(gang: RunningJob, now: float) -> float:
     """Return the accelerator seconds of work that a preemption would lose."""
     held = sum(max(1, len(m.accelerators)) for m in gang.members)
     ran_s = max(0.0, now - gang.started_at)
--- a/src/firladder/_internal/policies/quarantine.py
+++ b/src/firladder/_internal/policies/quarantine.py
@@ -17,7 +17,7 @@
 probe."""
 
 MAX_QUARANTINE_S = 3600.0
-"""Longest time between probes: a repaired worker is back within an hour without an
+"""Maximum time between probes: a repaired worker is back within an hour without an
 operator, and a broken one costs one failed start an hour."""
 
 FAILED_WORKERS_TO_BLAME_JOB = 3
--- a/src/firladder/_internal/policies/reclaim.py
+++ b/src/firladder/_internal/policies/reclaim.py
@@ -53,7 +53,7 @@
         size = max((b.accelerators for b in self.plan.bins.values()), default=0)
         return 0 < size <= job.spec.accelerators
 
-    def claim(self, job: QueuedJob) -> list[Action] | None:
+    def reclaim_cell(self, job: QueuedJob) -> list[Action] | None:
         """Return the actions to start the job in a cell, or None if it gets none.
 
         An empty list means that the cell is being vacated: its capacity is withheld
@@ -66,9 +66,9 @@
         others = [
             s for s in slots if s not in suitable and not self._awaits_whole_workers(s)
         ]
-        actions = self._claim_any(job, suitable)
+        actions = self._reclaim_any(job, suitable)
         if actions is None and others:
-            return self._start_in_free_capacity(job) or self._claim_any(job, others)
+            return self._start_in_free_capacity(job) or self._reclaim_any(job, others)
         return actions
 
     def _start_in_free_capacity(self, job: QueuedJob) -> list[Action]:
@@ -103,7 +103,7 @@
         """
         return not slot.whole_workers or self._is_large(job)
 
-    def _claim_any(
+    def _reclaim_any(
         self, job: QueuedJob, slots: Sequence[CellSlot]
     ) -> list[Action] | None:
         for slot in slots:
@@ -115,9 +115,10 @@
         return None
 
     def _list_usable_slots(self, job: QueuedJob) -> list[CellSlot]:
-        """Return slots that are large enough: smallest first, then those in use.
+        """Return the slots that are large enough, smallest first.
 
-        Of idle slots of the same size only one is returned, as they are equivalent.
+        Of slots of the same size, those in use come first, and only one idle slot is
+        returned, as idle ones are equivalent.
         """
         wanted = job.spec.members * job.spec.accelerators
         missing = {n.slot for n in self.plan.packing.missing}
@@ -164,7 +165,7 @@
         ordered = sorted(
             (n for n in allowed if self._is_allowed(plan.worker_plans[n], job)),
             key=lambda n: (
-                self._count_victims_loss(n, job),
+                self._estimate_victims_loss(n, job),
                 self._rank_tied(n, job),
                 plan.capacity[n],
                 len(plan.worker_plans[n].room.free),
@@ -182,8 +183,8 @@
         without bound.
         """
         holds = self.plan.worker_plans[worker].holds
-        coming = any(g.preempted_for == job.spec.id for g, _ in holds)
-        return not coming, worker in self._reserved and not self._is_large(job)
+        vacating = any(g.preempted_for == job.spec.id for g, _ in holds)
+        return not vacating, worker in self._reserved and not self._is_large(job)
 
     def _list_whole_worker_candidates(
         self, job: QueuedJob, slot: CellSlot
@@ -211,7 +212,7 @@
         ]
         names.sort(
             key=lambda n: (
-                self._count_victims_loss(n, job),
+                self._estimate_victims_loss(n, job),
                 self._rank_tied(n, job),
                 n,
             )
@@ -263,14 +264,14 @@
             best = min(
                 options,
                 key=lambda n: (
-                    self._count_added_loss(n, lost),
+                    self._estimate_added_loss(n, lost),
                     self._rank_tied(n, job),
                     n not in used,
                     capacities[n] if capacities[n] >= left else -capacities[n],
                     n,
                 ),
             )
-            cost += self._count_added_loss(best, lost)
+            cost += self._estimate_added_loss(best, lost)
             lost |= {g.spec.id for g, _ in self.plan.worker_plans[best].holds}
             count = min(left, capacities.pop(best))
             if best not in used:
@@ -344,4 +345,6 @@
         del free_capacity.free[:free]
         free_capacity.cpus -= count * job.spec.cpus
         free_capacity.memory_mb -= count * job.spec.memory_mb
-        self._promised[worker] = self._promised.get(worker, 0) + wanted - free
+        self._promised_accelerators[worker] = (
+            self._promised_accelerators.get(worker, 0) + wanted - free
+        )
--- a/src/firladder/_internal/policies/reclaim_policies.py
+++ b/src/firladder/_internal/policies/reclaim_policies.py
@@ -88,7 +88,7 @@
 def _reclaim(
     reclaimer: Reclaimer, queue: Sequence[QueuedJob]
 ) -> tuple[list[Action], set[str]]:
-    reclaims = {j.spec.id: reclaimer.claim(j) for j in queue}
+    reclaims = {j.spec.id: reclaimer.reclaim_cell(j) for j in queue}
     placed = [a for actions in reclaims.values() for a in actions or ()]
     handled = {job for job, actions in reclaims.items() if actions is not None}
     return [*placed, *reclaimer.victims.values()], handled
--- a/src/firladder/_internal/policies/request_views.py
+++ b/src/firladder/_internal/policies/request_views.py
@@ -39,7 +39,7 @@
     oldest_s: float = 0.0
 
     @property
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Return whether this gateway may send the target one more request."""
         return not self.leaving and self.in_flight < self.share
 
@@ -48,10 +48,10 @@
 class ServiceView:
     """The queue and the capacity of one service, as input of admission.
 
-    ``slot_count`` is the sum of this gateway's shares of the targets, ``latency_s`` the time
-    that one request takes there. ``held`` counts the queued requests by organisation;
-    ``ahead_of_own`` those of the requesting organisation that are served first.
-    ``refused_s`` is the work refused recently, in seconds, which may be retried.
+    ``slot_count`` is the sum of this gateway's shares of the targets, ``latency_s`` the
+    time that one request takes there. ``held`` counts the queued requests by
+    organisation; ``ahead_of_own`` those of the requesting organisation that are served
+    first. ``refused_s`` is the work refused recently, in seconds, which may be retried.
     """
 
     now: float
--- a/src/firladder/_internal/policies/retrying.py
+++ b/src/firladder/_internal/policies/retrying.py
@@ -3,7 +3,7 @@
 import random
 
 MAX_ATTEMPTS = 3
-"""Times that one request is sent, the first included."""
+"""Maximum times that one request is sent, the first included."""
 
 RETRY_RATIO = 0.1
 RETRY_BURST = 10.0
@@ -30,7 +30,10 @@
     def plan(
         self, *, attempts: int, now: float, deadline: float, rng: random.Random
     ) -> float | None:
-        """Return the seconds to wait before a retry, or None if there is none."""
+        """Return the seconds to wait before a retry, or None if there is none.
+
+        ``attempts`` is how often the request was sent so far.
+        """
         longest_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** max(0, attempts - 1))
         pause_s = rng.uniform(0, longest_s)
         if attempts >= MAX_ATTEMPTS or now + pause_s >= deadline or self._tokens < 1:
--- a/src/firladder/_internal/policies/routing.py
+++ b/src/firladder/_internal/policies/routing.py
@@ -93,9 +93,9 @@
         return now - first
 
 
-def find_typical_latency(scores: Iterable[TargetStats]) -> float:
+def find_typical_latency(stats: Iterable[TargetStats]) -> float:
     """Return the median latency over the targets that have answered."""
-    seen = [s.latency_s for s in scores if s.samples]
+    seen = [s.latency_s for s in stats if s.samples]
     return statistics.median(seen) if seen else INITIAL_LATENCY_S
 
 
@@ -104,7 +104,7 @@
     targets: Sequence[TargetView], now: float, rng: random.Random
 ) -> str | None:
     """Return a random target with a free slot (baseline)."""
-    available = [t for t in targets if t.has_room]
+    available = [t for t in targets if t.has_free_slot]
     return rng.choice(available).name if available else None
 
 
@@ -119,7 +119,7 @@
     spread them almost as evenly as full knowledge would. The age of the oldest
     request in flight shows a slow target before any answer does.
     """
-    open_targets = [t for t in targets if t.has_room and t.retry_at <= now]
+    open_targets = [t for t in targets if t.has_free_slot and t.retry_at <= now]
     if not open_targets:
         return None
     pair = rng.sample(open_targets, min(2, len(open_targets)))
--- a/src/firladder/_internal/policies/sharing.py
+++ b/src/firladder/_internal/policies/sharing.py
@@ -17,7 +17,7 @@
 at an idle gateway starts at once and not a heartbeat later."""
 
 MIN_SHARED_DEMAND_PER_SLOT = 0.5
-"""Least demand, in requests per slot of a target, that is added in equal parts to
+"""Minimum demand, in requests per slot of a target, that is added in equal parts to
 the demand of the busy gateways."""
 
 
