--- a/features/steps/requests_load_steps.py
+++ b/features/steps/requests_load_steps.py
@@ -117,7 +117,7 @@
     for number in range(count + 10):
         req = WaitingRequest(str(number), "kraftwerk", "urgent", 0.0, 100.0)
         failure = queues.admit(
-            req, slot_count=10, in_flight=10, expected_s=0.2, request_share=1.0, rng=rng
+            req, room=10, in_flight=10, expected_s=0.2, request_share=1.0, rng=rng
         )
         if failure is None:
             queues.push(req, Selector())
--- a/src/firladder/_internal/evaluation/requests.py
+++ b/src/firladder/_internal/evaluation/requests.py
@@ -196,7 +196,7 @@
         )
         failure = gateway.queues.admit(
             req,
-            slot_count=gateway.table.measure_capacity(
+            room=gateway.table.measure_capacity(
                 SERVICE, MATCH_ALL, self._configuration
             ),
             in_flight=gateway.in_flight,
--- a/src/firladder/_internal/gateway/queues.py
+++ b/src/firladder/_internal/gateway/queues.py
@@ -166,7 +166,7 @@
             )
         return self._find_queues(service).admit(
             waiting,
-            slot_count=capacity,
+            room=capacity,
             in_flight=self.in_flight[service],
             expected_s=self._targets.estimate_latency(service),
             request_share=self._find_organisation(steering).request_share,
--- a/src/firladder/_internal/policies/admission.py
+++ b/src/firladder/_internal/policies/admission.py
@@ -52,7 +52,7 @@
     rises.
     """
     wait_s = estimate_wait(view, req)
-    refused_work_s = view.refused_s / max(1, view.slot_count)
+    refused_work_s = view.refused_s / max(1, view.room)
     total = sum(view.queued.values())
     if total >= view.queue_limit * QUEUE_FRACTION[req.urgency]:
         reason = f"the queue has no place left for {req.urgency} work"
@@ -91,8 +91,8 @@
     weights = {**view.weights, req.organisation: req.weight}
     turns = sum(weights.values()) / req.weight
     by_turns = (view.ahead_of_own + 1) * turns
-    busy = 1 if view.in_flight >= view.slot_count else 0
-    return view.latency_s * (min(ahead, by_turns) + busy) / max(1, view.slot_count)
+    busy = 1 if view.in_flight >= view.room else 0
+    return view.latency_s * (min(ahead, by_turns) + busy) / max(1, view.room)
 
 
 def spread_retry_after(
--- a/src/firladder/_internal/policies/dispatching.py
+++ b/src/firladder/_internal/policies/dispatching.py
@@ -59,7 +59,7 @@
         self._queue_limit = queue_limit
         self._queues: dict[Selector, RequestQueue] = {}
         self._counts = QueueCounts()
-        self._slot_count = 1
+        self._room = 1
         self._refused = 0.0
         self._refused_at = 0.0
 
@@ -70,7 +70,7 @@
         self,
         req: WaitingRequest,
         *,
-        slot_count: int,
+        room: int,
         in_flight: int,
         expected_s: float,
         request_share: float,
@@ -82,7 +82,7 @@
             req.arrived_at,
             counts.by_urgency,
             self._queue_limit,
-            slot_count,
+            room,
             in_flight,
             expected_s,
             counts.by_organisation,
@@ -91,7 +91,7 @@
             request_share,
             self._decay_refused(req.arrived_at) * expected_s,
         )
-        self._slot_count = slot_count
+        self._room = room
         failure = self._policies.admit(view, req, rng)
         if failure is not None:
             self._record_refused(req.arrived_at)
@@ -106,9 +106,7 @@
         with a randomised time to retry.
         """
         self._record_refused(now)
-        refused_work_s = (
-            self._decay_refused(now) * expected_s / max(1, self._slot_count)
-        )
+        refused_work_s = self._decay_refused(now) * expected_s / max(1, self._room)
         return DeadlineUnreachable(
             reason="the deadline is too near for a target's answer",
             field="deadline_ms",
--- a/src/firladder/_internal/policies/request_views.py
+++ b/src/firladder/_internal/policies/request_views.py
@@ -48,7 +48,7 @@
 class ServiceView:
     """The queue and the capacity of one service, as input of admission.
 
-    ``slot_count`` is the sum of this gateway's shares of the targets, ``latency_s`` the
+    ``room`` is the sum of this gateway's shares of the targets, ``latency_s`` the
     time that one request takes there. ``held`` counts the queued requests by
     organisation; ``ahead_of_own`` those of the requesting organisation that are served
     first. ``refused_s`` is the work refused recently, in seconds, which may be retried.
@@ -57,7 +57,7 @@
     now: float
     queued: Mapping[Urgency, int]
     queue_limit: int
-    slot_count: int
+    room: int
     in_flight: int
     latency_s: float
     held: Mapping[str, int] = dataclasses.field(default_factory=dict)
