--- a/features/steps/requests_load_steps.py
+++ b/features/steps/requests_load_steps.py
@@ -166,12 +166,12 @@
     context.pauses = []
     for _ in range(count):
         budget.earn()
-        attempts = 1
+        tries = 1
         while (
-            pause_s := budget.plan(attempts=attempts, now=0, deadline=9, rng=rng)
+            pause_s := budget.plan(tries=tries, now=0, deadline=9, rng=rng)
         ) is not None:
             context.pauses.append(pause_s)
-            attempts += 1
+            tries += 1
 
 
 @then("at most {count:d} retries were sent, at different times")
--- a/src/firladder/_internal/gateway/dispatch.py
+++ b/src/firladder/_internal/gateway/dispatch.py
@@ -111,7 +111,7 @@
     def _begin_send(self, pending: PendingRequest, target: str, now: float) -> None:
         self._targets.states[target].score.record_sent(pending.waiting.id, now)
         self.in_flight[pending.service] += 1
-        pending.attempts += 1
+        pending.tries += 1
         pending.target = target
         pending.chart.fire("send")
         self._timeline.record(
@@ -188,7 +188,7 @@
             # send could run it twice.
             return False
         backoff_s = self._budget.plan(
-            attempts=pending.attempts,
+            tries=pending.tries,
             now=now,
             deadline=pending.waiting.deadline,
             rng=self._rng,
--- a/src/firladder/_internal/gateway/pending.py
+++ b/src/firladder/_internal/gateway/pending.py
@@ -26,7 +26,7 @@
     steering: Steering
     chart: ChartInstance
     final: "asyncio.Future[RequestResult]"
-    attempts: int = 0
+    tries: int = 0
     may_have_run: bool = False
     target: str | None = None
 
--- a/src/firladder/_internal/policies/retrying.py
+++ b/src/firladder/_internal/policies/retrying.py
@@ -28,15 +28,15 @@
         self._tokens = min(RETRY_BURST, self._tokens + RETRY_RATIO)
 
     def plan(
-        self, *, attempts: int, now: float, deadline: float, rng: random.Random
+        self, *, tries: int, now: float, deadline: float, rng: random.Random
     ) -> float | None:
         """Return the seconds to wait before a retry, or None if there is none.
 
-        ``attempts`` is how often the request was sent so far.
+        ``tries`` is how often the request was sent so far.
         """
-        longest_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** max(0, attempts - 1))
+        longest_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** max(0, tries - 1))
         pause_s = rng.uniform(0, longest_s)
-        if attempts >= MAX_ATTEMPTS or now + pause_s >= deadline or self._tokens < 1:
+        if tries >= MAX_ATTEMPTS or now + pause_s >= deadline or self._tokens < 1:
             return None
         self._tokens -= 1
         return pause_s
