--- a/src/firladder/_internal/engine/health.py
+++ b/src/firladder/_internal/engine/health.py
@@ -8,7 +8,7 @@
 QUARANTINE_AFTER_JOBS = 2
 """Distinct jobs that must fail on a worker before it is quarantined. Single tasks fail
 through their own fault, and a broken job fails everywhere; failures of two different
-jobs in a row point to the worker."""
+jobs without a success in between point to the worker."""
 
 FAILURE_WINDOW_S = 12.0
 """How long a failure counts: a few run times of a task."""
@@ -90,10 +90,14 @@
     pool, although nothing is wrong with them.
     """
     counts: Counter[str] = Counter()
-    held: Counter[str] = Counter()
+    quarantined: Counter[str] = Counter()
     for worker in workers:
         counts[worker.entry.pool] += worker.registered
-        held[worker.entry.pool] += worker.registered and now < worker.quarantined_until
+        quarantined[worker.entry.pool] += (
+            worker.registered and now < worker.quarantined_until
+        )
     return {
-        pool for pool in counts if held[pool] > MAX_QUARANTINED_SHARE * counts[pool]
+        pool
+        for pool in counts
+        if quarantined[pool] > MAX_QUARANTINED_SHARE * counts[pool]
     }
--- a/src/firladder/_internal/engine/idleness.py
+++ b/src/firladder/_internal/engine/idleness.py
@@ -14,8 +14,9 @@
 backfilling is limited; then it may use them."""
 
 SPREAD_IF_IDLE_AFTER_S = 10.0
-"""How long it waits there for its rack before it may be spread. Spread over racks it
-takes several times as long, and a rack often becomes free within a task's run time."""
+"""How long a gang that is not urgent waits in an idle pool for its rack before it may
+be spread over racks. Spread, it takes several times as long, and a rack often becomes
+free within a task's run time."""
 
 
 def find_idle_pools(
--- a/src/firladder/_internal/engine/leases.py
+++ b/src/firladder/_internal/engine/leases.py
@@ -1,4 +1,4 @@
-"""The leases of runs: until when a worker that nobody can reach may go on."""
+"""The leases of runs: until when an unreachable worker may continue them."""
 
 from .state import Worker
 
--- a/src/firladder/_internal/engine/planning.py
+++ b/src/firladder/_internal/engine/planning.py
@@ -52,8 +52,9 @@
 burst on a full pool loses, without a disadvantage to callers."""
 
 RECLAIM_MARGIN_S = 2.0
-"""Minimum time left of it for the preemption itself: a stop takes up to 0.9 s, reading
-its end and storing and ordering the new run another 0.5 s, and a busy leader longer."""
+"""Minimum part of the same time that is left for the preemption: a stop takes up to
+0.9 s, reading its end and storing and ordering the new run another 0.5 s, and a busy
+leader longer."""
 
 SPREAD_AFTER_SHARE = 0.6
 """Share of the time within which guaranteed work must start after which a guaranteed
@@ -145,8 +146,8 @@
         for worker in self._core.workers.values():
             if not self._is_usable(worker, now):
                 continue
-            held_back = now < worker.quarantined_until
-            if held_back and worker.entry.pool not in suspect:
+            quarantined = now < worker.quarantined_until
+            if quarantined and worker.entry.pool not in suspect:
                 continue
             entry = worker.entry
             pools.setdefault(entry.pool, []).append(
--- a/src/firladder/_internal/engine/reports.py
+++ b/src/firladder/_internal/engine/reports.py
@@ -40,12 +40,12 @@
         if worker is None:
             return
         worker.registered = False
-        self._remove_if_over(worker)
+        self._remove_if_unused(worker)
 
     def expire_runs(self, now: float) -> None:
         """End the runs of unreachable workers whose leases have expired."""
         for worker in list(self.workers.values()):
-            self._remove_if_over(worker)
+            self._remove_if_unused(worker)
             if worker.reachable or not worker.placements or now < worker.runs_expire_at:
                 continue
             self.note(
@@ -56,7 +56,7 @@
             )
             for placement in list(worker.placements.values()):
                 self._resolve(worker, placement, None)
-            self._remove_if_over(worker)
+            self._remove_if_unused(worker)
 
     def abort_stalled_runs(self, now: float) -> None:
         """Abort stalled runs, so that their units run again on other workers."""
@@ -190,7 +190,7 @@
             return
         if ending == "done":
             clear_failures(worker)
-            self._learn_runtime(unit, placement, now)
+            self._learn_run_time(unit, placement, now)
             self.speeds.learn_from_end(unit, placement, now)
         if ending != "failed":
             return
@@ -198,10 +198,10 @@
         if record_failure(worker, unit.job.accepted.job_id, now):
             self.note("worker quarantined", worker=worker.worker_id, cause="failures")
 
-    def _learn_runtime(self, unit: Unit, placement: Placement, now: float) -> None:
+    def _learn_run_time(self, unit: Unit, placement: Placement, now: float) -> None:
         if not placement.ran_from_start:
             return
         key = (unit.job.accepted.queue, unit.step_index)
-        spent = now - placement.active_at
-        former = self.run_times.get(key, spent)
-        self.run_times[key] = former + 0.2 * (spent - former)
+        run_time_s = now - placement.active_at
+        former = self.run_times.get(key, run_time_s)
+        self.run_times[key] = former + 0.2 * (run_time_s - former)
--- a/src/firladder/_internal/engine/runs.py
+++ b/src/firladder/_internal/engine/runs.py
@@ -1,4 +1,4 @@
-"""Runs of units: planned, made durable, sent, ended, and settled.
+"""Runs of units: planned, made durable, sent, and ended.
 
 Runs keep four invariants, even when orders or their answers are lost or late:
 
@@ -269,9 +269,9 @@
                 self._drop(self.workers.get(placement.worker_id), placement)
             elif placement.phase is not Phase.STOPPING:
                 self._order_stop(placement)
-        self._settle(unit)
+        self._retry_or_fail(unit)
 
-    def _remove_if_over(self, worker: Worker) -> None:
+    def _remove_if_unused(self, worker: Worker) -> None:
         """Remove a worker that is not registered and has no state left to keep.
 
         Ends that were read and are not durable yet must be kept: if they were removed
@@ -287,7 +287,7 @@
     def _drop(self, worker: Worker | None, placement: Placement) -> None:
         if worker is not None:
             worker.placements.pop(placement.key, None)
-            self._remove_if_over(worker)
+            self._remove_if_unused(worker)
         unit = placement.unit
         if unit is not None:
             unit.placements.pop(placement.task.index, None)
@@ -319,7 +319,7 @@
         )
         self._abort_run(unit)
 
-    def _settle(self, unit: Unit) -> None:
+    def _retry_or_fail(self, unit: Unit) -> None:
         """Return a unit whose run is over to waiting, or fail its job."""
         if unit.placements or unit.state is not UnitState.BUSY:
             return
--- a/src/firladder/_internal/engine/shortages.py
+++ b/src/firladder/_internal/engine/shortages.py
@@ -57,8 +57,8 @@
         avoids workers, may not fit for that reason alone. It rules out no other demand
         and is not recorded.
         """
-        bound = bool(step.label or step.rack or step.most_per_worker)
-        if not bound and not has_exclusions:
+        constrained = bool(step.label or step.rack or step.most_per_worker)
+        if not constrained and not has_exclusions:
             self._failed.setdefault(demand.pool, []).append(demand)
 
     def rules_out(self, demand: Demand) -> bool:
--- a/src/firladder/_internal/engine/speeds.py
+++ b/src/firladder/_internal/engine/speeds.py
@@ -109,13 +109,13 @@
         placement.measures_speed = False
         if took_s <= 0:
             return
-        took = math.log(took_s)
+        log_run_time = math.log(took_s)
         step = self._find_step(unit)
         worker = self._workers.setdefault(
             placement.worker_id, _Estimate(0.0, WORKER_VARIANCE)
         )
         self._sum -= worker.value
-        residual = took - step.value - worker.value
+        residual = log_run_time - step.value - worker.value
         total = step.variance + worker.variance + TASK_VARIANCE
         for estimate in (step, worker):
             share = estimate.variance / total
@@ -124,7 +124,7 @@
         worker.value = max(-MAX_LOG_SLOWNESS, min(MAX_LOG_SLOWNESS, worker.value))
         worker.variance += CHANGE_VARIANCE
         self._sum += worker.value
-        self._update_declared_bias(unit, took - worker.value)
+        self._update_declared_bias(unit, log_run_time - worker.value)
 
     def _find_step(self, unit: Unit) -> _Estimate:
         accepted = unit.job.accepted
@@ -132,17 +132,17 @@
         known = self._steps.get(key)
         if known is None:
             declared = self._queues.setdefault(accepted.queue, _DeclaredBias())
-            value = _read_declared(unit) + declared.bias
+            value = _compute_log_declared(unit) + declared.bias
             known = self._steps[key] = _Estimate(value, declared.variance)
         return known
 
-    def _update_declared_bias(self, unit: Unit, took: float) -> None:
+    def _update_declared_bias(self, unit: Unit, log_run_time: float) -> None:
         declared = self._queues[unit.job.accepted.queue]
-        residual = took - _read_declared(unit) - declared.bias
+        residual = log_run_time - _compute_log_declared(unit) - declared.bias
         declared.bias += LEARNING_RATE * residual
         declared.variance += LEARNING_RATE * (residual * residual - declared.variance)
 
 
-def _read_declared(unit: Unit) -> float:
+def _compute_log_declared(unit: Unit) -> float:
     """Return the logarithm of the declared time."""
     return math.log(max(unit.step.estimate_s, MIN_DECLARED_S))
--- a/src/firladder/_internal/engine/state.py
+++ b/src/firladder/_internal/engine/state.py
@@ -292,12 +292,12 @@
 
     def find_last_durable_end(self) -> int:
         """Return the number of the last end up to which all ends are durable."""
-        durable_version = self.last_end_acknowledged
+        last_durable = self.last_end_acknowledged
         for number, job, version in self.unacknowledged_ends:
             if job is not None and job.durable_version < version:
                 break
-            durable_version = number
-        return durable_version
+            last_durable = number
+        return last_durable
 
     def drop_acknowledged_ends(self, number: int) -> None:
         """Drop the ends up to ``number``, which were acknowledged to the worker."""
