--- a/src/firladder/_internal/node/client_api.py
+++ b/src/firladder/_internal/node/client_api.py
@@ -56,7 +56,7 @@
 tenth of a second left, several times what the store takes to answer."""
 
 LEADER_TIMEOUT_S = 0.25
-"""Timeout of a question to the leader, in seconds; it answers from memory."""
+"""Timeout of a query to the leader, in seconds; it answers from memory."""
 
 MAX_CACHED_OUTCOMES = 5000
 """Final job states cached; they never change, and clients ask for them repeatedly."""
--- a/src/firladder/_internal/node/distribution.py
+++ b/src/firladder/_internal/node/distribution.py
@@ -135,15 +135,15 @@
         return self._rng.choice([ip for ip, v in self._holders.items() if v == newest])
 
     async def _fetch(self, ip: str, *, timeout_s: float) -> None:
-        heard = self._holders.pop(ip)
+        advertised = self._holders.pop(ip)
         own = self._configuration.version
         reply = await self._ask(ip, FetchQueues(newer_than=own), timeout_s=timeout_s)
         reason = self._apply_reply(ip, reply)
-        if self._configuration.version < heard:
+        if self._configuration.version < advertised:
             self._timeline.record(
                 Event.CONFIGURATION_MISSED,
                 peer=ip,
-                heard=heard,
+                heard=advertised,
                 version=self._configuration.version,
                 limit_s=timeout_s,
                 reason=reason,
--- a/src/firladder/_internal/node/records.py
+++ b/src/firladder/_internal/node/records.py
@@ -82,7 +82,7 @@
         partition_detector: PartitionDetector,
     ) -> None:
         """Write to ``store``, or through peers in ``fleet`` if it is unreachable."""
-        self._isolation = partition_detector
+        self._partition_detector = partition_detector
         self._store = store
         self._fleet = fleet
         self._clock = clock
@@ -102,7 +102,7 @@
             now = self._clock.read_monotonic()
             if now + MIN_ATTEMPT_TIMEOUT_S >= (until if uncertain else reject_at):
                 break
-            if self._isolation.partitioned:
+            if self._partition_detector.partitioned:
                 # Answer now, so that the caller has time left to retry in another
                 # failure domain. Creating the record twice is harmless.
                 break
--- a/src/firladder/_internal/node/retention.py
+++ b/src/firladder/_internal/node/retention.py
@@ -41,7 +41,7 @@
         self._core = core
         self._store = store
         self._clock = clock
-        self._kept_s = retention_s
+        self._retention_s = retention_s
         self._revisions = revisions
 
     async def run(self) -> None:
@@ -51,7 +51,7 @@
             await self._sweep()
 
     async def _sweep(self) -> None:
-        before = self._clock.read_wall() - self._kept_s - RETENTION_MARGIN_S
+        before = self._clock.read_wall() - self._retention_s - RETENTION_MARGIN_S
         old = [
             job_id
             for job_id, job in self._core.jobs.items()
--- a/src/firladder/_internal/node/worker_session.py
+++ b/src/firladder/_internal/node/worker_session.py
@@ -37,7 +37,8 @@
 """Minimum timeout, in seconds, of a poll that does not wait."""
 
 POLL_RETRY_PAUSE_S = 0.25
-"""Initial seconds before a failed poll is retried; doubles up to a maximum below."""
+"""Initial seconds before a failed poll is retried; doubles up to one of the maximums
+below."""
 
 MAX_IDLE_RETRY_PAUSE_S = 1.0
 """Maximum retry pause, in seconds, for a worker without placements."""
@@ -77,12 +78,12 @@
         self._wake = asyncio.Event()
         self._orders = OrderQueue()
         self._waiting_poll_open = False
-        self._may_be_granted = asyncio.Event()
+        self._may_send_lease = asyncio.Event()
 
     def wake(self) -> None:
         """Let the loops check again whether the worker must be polled."""
         self._wake.set()
-        self._may_be_granted.set()
+        self._may_send_lease.set()
 
     def order(self, placement: Placement, *, start: bool) -> None:
         """Queue a start or a stop.
@@ -166,14 +167,14 @@
             # end of the worker's lease unknown. A worker that does not answer is
             # only polled, and gets its lease once it answers.
             deadline_s = None
-        seen = worker.find_last_durable_end()
+        acknowledged = worker.find_last_durable_end()
         wait_s = self._choose_wait() if may_wait and deadline_s is None else 0.0
         if wait_s:
             self._waiting_poll_open = True
         answer = await context.calls.poll(
             worker.worker_id,
             worker.entry.address,
-            acknowledged=seen,
+            acknowledged=acknowledged,
             deadline_s=deadline_s,
             wait_s=wait_s,
             timeout_s=self._choose_poll_timeout(wait_s),
@@ -186,7 +187,7 @@
                 leases.record_grant_answered(
                     worker, grant, sent_at=sent_at, now=now, lease_s=lease_s
                 )
-            worker.drop_acknowledged_ends(seen)
+            worker.drop_acknowledged_ends(acknowledged)
             self._core.handle_report(worker, answer, sent_at=sent_at, now=now)
             context.request_pass()
             return True
@@ -286,7 +287,7 @@
         sent_at = context.clock.read_monotonic()
         deadline_s = leases.choose_deadline(worker, now=sent_at, lease_s=lease_s)
         if deadline_s is None or not worker.may_send_lease:
-            # Its lease, sent into a partition, might arrive late and unnoticed.
+            # A lease sent into a partition might arrive late and unnoticed.
             dropped = NotSent(reason="the worker is unreachable")
             self._core.handle_start_answer(placement, dropped, sent_at)
             return
@@ -326,8 +327,8 @@
             left_s = until - clock.read_monotonic()
             if left_s <= 0:
                 return
-            self._may_be_granted.clear()
-            event = asyncio.ensure_future(self._may_be_granted.wait())
+            self._may_send_lease.clear()
+            event = asyncio.ensure_future(self._may_send_lease.wait())
             await asyncio.wait((event,), timeout=left_s)
             event.cancel()
 
