--- a/src/firladder/_internal/engine/state.py
+++ b/src/firladder/_internal/engine/state.py
@@ -12,8 +12,9 @@
 class Phase(enum.Enum):
     """The phase of a placement's orders.
 
-    PLANNED is not durable yet, so no order was sent. RECOVERED comes from the record
-    of a former leader: the worker has not been polled yet.
+    PLANNED is not durable yet, so no order was sent. SENT is durable: its start order
+    is due or was sent. RECOVERED comes from the record of a former leader: the worker
+    has not been polled yet.
     """
 
     PLANNED = "planned"
@@ -24,7 +25,7 @@
 
 
 class UnitState(enum.Enum):
-    """The state of a unit; BUSY while it has a run that is planned or active."""
+    """The state of a unit; BUSY while its run is planned, active or being stopped."""
 
     WAITING = "waiting"
     BUSY = "busy"
