--- a/src/firladder/_internal/etcd/__init__.py
+++ b/src/firladder/_internal/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the systems that a small site runs: etcd, targets and workers."""
+"""Clients of the systems that a small installation runs: etcd, targets and workers."""
--- a/src/firladder/_internal/fleet/configuration.py
+++ b/src/firladder/_internal/fleet/configuration.py
@@ -109,7 +109,7 @@
                 in_force=self.current.revision,
             )
         self._stored_revision = stored.revision
-        # The adoption must come after its acceptance on the time line.
+        # The adoption must come after its acceptance on the timeline.
         self._timeline.logical.merge(read_head(entries.get(HEAD_KEY)).clock)
         self.loaded = True
         self.adopt(stored, source="store")
--- a/src/firladder/_internal/fleet/operations.py
+++ b/src/firladder/_internal/fleet/operations.py
@@ -1,4 +1,4 @@
-"""HTTP endpoints that all daemons serve: health, metrics and the time line."""
+"""HTTP endpoints that all daemons serve: health, metrics and the timeline."""
 
 from typing import Any
 
@@ -40,7 +40,7 @@
 
 
 async def list_events(app: Any, call: HttpCall) -> HttpReply:
-    """Return the events of this process's time line."""
+    """Return the events of this process's timeline."""
     after = call.query.get("after", "0")
     events = app.timeline.list_events(after=int(after) if after.isdigit() else 0)
     return reply_json({"events": events})
--- a/src/firladder/_internal/gateway/configuration.py
+++ b/src/firladder/_internal/gateway/configuration.py
@@ -43,7 +43,7 @@
 
 
 class ConfigurationHandler:
-    """Handles the changes that operators send to this gateway."""
+    """Handle the changes that operators send to this gateway."""
 
     def __init__(
         self,
--- a/src/firladder/_internal/gateway/daemon.py
+++ b/src/firladder/_internal/gateway/daemon.py
@@ -69,7 +69,7 @@
 
 
 class Gateway(Process):
-    """Serves requests to targets, and calls about jobs and configuration."""
+    """Serve requests to targets, and calls about jobs and configuration."""
 
     role = "gateway"
 
--- a/src/firladder/_internal/gateway/dispatch.py
+++ b/src/firladder/_internal/gateway/dispatch.py
@@ -27,7 +27,7 @@
 DISPATCH_INTERVAL_S = 0.02
 
 LATE_ANSWER_GRACE_S = 30.0
-"""Seconds after the deadline for which the answer to a request that must not
+"""Time after the deadline for which the answer to a request that must not
 run twice is still awaited, so that a retry gets it."""
 
 UNSENT_RETRY_S = (0.5, 2.0)
@@ -36,7 +36,7 @@
 
 
 class Dispatcher(RequestQueues):
-    """Sends the queued requests of all services to targets."""
+    """Send the queued requests of all services to targets."""
 
     def _list_views(
         self, service: str, selector: Selector, now: float
--- a/src/firladder/_internal/gateway/jobs.py
+++ b/src/firladder/_internal/gateway/jobs.py
@@ -35,7 +35,7 @@
 
 
 class JobHandler:
-    """Handles calls about jobs at this gateway."""
+    """Handle calls about jobs at this gateway."""
 
     def __init__(
         self,
--- a/src/firladder/_internal/gateway/ownership.py
+++ b/src/firladder/_internal/gateway/ownership.py
@@ -90,7 +90,7 @@
 
 
 class RequestIdRegistry:
-    """Mints tickets, and claims ids that callers chose."""
+    """Mint tickets, and claim ids that callers chose."""
 
     def __init__(self, *, identity: Identity, store: StoreClient) -> None:
         """Claim ids in ``store`` for the incarnation of ``identity``."""
--- a/src/firladder/_internal/gateway/relaying.py
+++ b/src/firladder/_internal/gateway/relaying.py
@@ -51,7 +51,7 @@
 
 
 class RequestRelay:
-    """Relays requests to other gateways, and answers those relayed to this one."""
+    """Relay requests to other gateways, and answer those relayed to this one."""
 
     def __init__(
         self,
--- a/src/firladder/_internal/gateway/requests.py
+++ b/src/firladder/_internal/gateway/requests.py
@@ -53,7 +53,7 @@
 
 
 class RequestHandler:
-    """Handles the requests that callers send to this gateway."""
+    """Handle the requests that callers send to this gateway."""
 
     def __init__(
         self,
--- a/src/firladder/_internal/network/http_client.py
+++ b/src/firladder/_internal/network/http_client.py
@@ -116,8 +116,8 @@
         if reason.check(ResponseDone):
             self.done.set_result(None)
         elif reason.check(PotentialDataLoss):
-            # Without a length or chunked encoding, a complete body cannot be told
-            # from a truncated one, so it never counts as complete.
+            # Without a length or chunked encoding, a complete body looks
+            # like a truncated one, so it never counts as complete.
             self.done.set_result("response without a length")
         else:
             self.done.set_result(f"response aborted: {reason.getErrorMessage()}")
--- a/src/firladder/_internal/network/http_server.py
+++ b/src/firladder/_internal/network/http_server.py
@@ -78,7 +78,7 @@
 
 
 class Routes(Protocol):
-    """Finds the handler of a request."""
+    """Find the handler of a request."""
 
     def find(self, method: str, path: str) -> tuple[Handler, dict[str, str]] | Failure:
         """Return the handler and its path parameters, or why there is none."""
--- a/src/firladder/_internal/scheduler/accounting.py
+++ b/src/firladder/_internal/scheduler/accounting.py
@@ -1,4 +1,4 @@
-"""The leader's account of workers and gangs, rebuilt from what the workers report."""
+"""A leader's accounting of workers and gangs, rebuilt from the workers' reports."""
 
 import dataclasses
 from collections.abc import Iterable, Mapping
@@ -63,7 +63,7 @@
     """The workers and gangs of one failure domain, and what each holds."""
 
     def __init__(self, failure_domain: str) -> None:
-        """Create the account with no workers and no gangs."""
+        """Create the accounting with no workers and no gangs."""
         self.failure_domain = failure_domain
         self.workers: dict[str, WorkerState] = {}
         self.gangs: dict[str, GangState] = {}
--- a/src/firladder/_internal/scheduler/daemon.py
+++ b/src/firladder/_internal/scheduler/daemon.py
@@ -90,7 +90,7 @@
     def describe(self) -> Heartbeat:
         """Return the heartbeat with this scheduler's epoch."""
         # Set from the election on, before the workers are claimed: a former
-        # leader that cannot reach the store must hear of its successor by then.
+        # leader that cannot reach the store must learn of its successor by then.
         return msgspec.structs.replace(
             super().describe(), leading=self.leadership.elected_epoch
         )
--- a/src/firladder/_internal/scheduler/gangs.py
+++ b/src/firladder/_internal/scheduler/gangs.py
@@ -26,7 +26,7 @@
 
 
 class GangRunner(GangMembers):
-    """Runs one gang: owns its state, and is controlled by messages in ``inbox``."""
+    """Run one gang and own its state; messages in ``inbox`` control it."""
 
     @property
     def settled(self) -> bool:
--- a/src/firladder/_internal/scheduler/members.py
+++ b/src/firladder/_internal/scheduler/members.py
@@ -24,12 +24,12 @@
 
 AVOID_S = 60.0
 """How long a job avoids a worker on which one of its members failed. A faulty worker
-is in quarantine by then. Without an end, a gang that needs both workers of a site of
-two would wait for ever after one failure."""
+is in quarantine by then. If this never ended, a gang that needs both workers of a
+failure domain with two would wait for ever after one failure."""
 
 
 class GangMembers:
-    """Sends commands to the members of a gang, under the leader's epoch."""
+    """Send commands to the members of a gang, under the leader's epoch."""
 
     def __init__(
         self,
--- a/src/firladder/_internal/scheduler/worker_follower.py
+++ b/src/firladder/_internal/scheduler/worker_follower.py
@@ -34,7 +34,7 @@
 
 
 class WorkerFollower:
-    """Keep a leader's account of its workers up to date in one term."""
+    """Keep a leader's accounting of its workers up to date in one term."""
 
     def __init__(
         self,
@@ -225,7 +225,7 @@
             if not state.list_held():
                 # Nothing to renew. A newly confirmed task appears in the worker's
                 # next report, long before the lease given with its confirmation
-                # expires. Whether the worker is alive, the poll for changes tells.
+                # expires. The poll for changes shows whether the worker is alive.
                 await asyncio.sleep(self._times.task_ttl_s / 4)
                 continue
             # Without a pause before the first renewal: a takeover uses up much
--- a/src/firladder/_internal/utils/events.py
+++ b/src/firladder/_internal/utils/events.py
@@ -1,4 +1,4 @@
-"""The catalogue of numbered events, and the time line that records them."""
+"""The catalogue of numbered events, and the timeline that records them."""
 
 import enum
 import logging
@@ -138,7 +138,7 @@
         return self.logical.advance()
 
     def record(self, event: Event, **details: Any) -> EventRecord:
-        """Record an event on the time line and in the log."""
+        """Record an event on the timeline and in the log."""
         return self.record_at(self.logical.advance(), event, **details)
 
     def record_at(
