--- a/src/firladder/_internal/evaluation/requests.py
+++ b/src/firladder/_internal/evaluation/requests.py
@@ -246,7 +246,7 @@
             arrival = self._arrivals.pop(req.id)
             wait_s = now - req.arrived_at
             self.outcomes.longest_wait_s = max(self.outcomes.longest_wait_s, wait_s)
-            table.states[name].score.record_sent(req.id, now)
+            table.states[name].stats.record_sent(req.id, now)
             gateway.in_flight += 1
             self._send(gateway, req, arrival, name, now)
 
@@ -272,8 +272,8 @@
             target.busy -= 1
             if target.waiting:
                 target.waiting.popleft()(at)
-            score = gateway.table.states[name].score
-            score.record_end(req.id)
+            stats = gateway.table.states[name].stats
+            stats.record_end(req.id)
             gateway.in_flight -= 1
             if fails:
                 gateway.table.record_failure(name, at)
--- a/src/firladder/_internal/gateway/dispatch.py
+++ b/src/firladder/_internal/gateway/dispatch.py
@@ -109,7 +109,7 @@
         self._end(pending, event, failure=failure)
 
     def _begin_send(self, pending: PendingRequest, target: str, now: float) -> None:
-        self._targets.states[target].score.record_sent(pending.waiting.id, now)
+        self._targets.states[target].stats.record_sent(pending.waiting.id, now)
         self.in_flight[pending.service] += 1
         pending.tries += 1
         pending.target = target
@@ -132,7 +132,7 @@
                 timeout_s=max(0.001, pending.waiting.deadline - now + grace_s),
             )
         finally:
-            state.score.record_end(pending.waiting.id)
+            state.stats.record_end(pending.waiting.id)
             self.in_flight[pending.service] -= 1
         self._handle_answer(pending, target, answer, now)
         self._wake.set()
--- a/src/firladder/_internal/gateway/targets.py
+++ b/src/firladder/_internal/gateway/targets.py
@@ -34,7 +34,7 @@
     """What this gateway knows about a target."""
 
     machine: Machine
-    score: TargetStats = dataclasses.field(default_factory=TargetStats)
+    stats: TargetStats = dataclasses.field(default_factory=TargetStats)
     share: int = 1
     leaving: bool = False
 
@@ -102,7 +102,7 @@
         nearly all targets are full.
         """
         states = self._list_staying(service, selector, configuration)
-        probing = sum(s.score.on_probe for s in states)
+        probing = sum(s.stats.on_probe for s in states)
         # If most targets seem to fail at once, the cause is more likely in the
         # requests or in this gateway; avoiding all targets would serve nobody.
         trusted = probing * PANIC_DIVISOR <= len(states)
@@ -114,9 +114,9 @@
                 # With more gateways than slots this gateway still sends one
                 # request at a time, or its callers would wait forever.
                 share = 1
-            if trusted and state.score.on_probe:
+            if trusted and state.stats.on_probe:
                 share = min(share, 1)
-            if len(state.score.sent_at) < share:
+            if len(state.stats.sent_at) < share:
                 views.append(_make_view(state, share, now, trusted=trusted))
         return views
 
@@ -162,7 +162,7 @@
         )
         self._expected_s[service] = expected_s + weight * (latency_s - expected_s)
         typical_s = self.find_typical_latency(service)
-        state.score.record_success(latency_s, now, typical_s)
+        state.stats.record_success(latency_s, now, typical_s)
         self._recorded += 1
         if self._recorded < MEDIAN_INTERVAL or self._recorded % MEDIAN_INTERVAL == 0:
             self._median_s.clear()
@@ -171,7 +171,7 @@
         """Update the score of a target with a failure."""
         state = self.states.get(name)
         if state is not None:
-            state.score.record_failure(now)
+            state.stats.record_failure(now)
 
     def estimate_latency(self, service: str) -> float:
         """Return the expected latency of the next request, in seconds.
@@ -188,7 +188,7 @@
         if found is None:
             states = self.states.values()
             found = self._median_s[service] = find_typical_latency(
-                s.score for s in states if s.machine.service == service
+                s.stats for s in states if s.machine.service == service
             )
         return found
 
@@ -233,14 +233,14 @@
 def _make_view(
     state: TargetState, share: int, now: float, *, trusted: bool
 ) -> TargetView:
-    score = state.score
+    stats = state.stats
     return TargetView(
         state.machine.name,
-        len(score.sent_at),
+        len(stats.sent_at),
         share,
-        score.latency_s,
-        score.failures,
-        score.retry_at if trusted else 0.0,
+        stats.latency_s,
+        stats.failures,
+        stats.retry_at if trusted else 0.0,
         False,
-        score.find_oldest_age(now),
+        stats.find_oldest_age(now),
     )
