--- a/features/support/listener.py
+++ b/features/support/listener.py
@@ -23,7 +23,7 @@
 async def hold(app, call: HttpCall) -> HttpReply:
     async def stream():
         yield b"held"
-        await call.gone.wait()
+        await call.disconnected.wait()
 
     return HttpReply(200, stream=stream())
 
--- a/src/firladder/_internal/gateway/attempts.py
+++ b/src/firladder/_internal/gateway/attempts.py
@@ -29,7 +29,7 @@
 class Attempt:
     """One attempt of a caller at a request.
 
-    ``deadline`` is the monotonic time by which it must be answered, and ``gone``
+    ``deadline`` is the monotonic time by which it must be answered, and ``disconnected``
     is set when the caller disconnects.
     """
 
@@ -40,7 +40,7 @@
     steering: Steering
     deadline: float
     relayed: bool
-    gone: asyncio.Event | None
+    disconnected: asyncio.Event | None
 
     @property
     def is_first_attempt(self) -> bool:
--- a/src/firladder/_internal/gateway/requests.py
+++ b/src/firladder/_internal/gateway/requests.py
@@ -88,11 +88,11 @@
         req: ServiceRequest,
         *,
         relayed: bool = False,
-        gone: asyncio.Event | None = None,
+        disconnected: asyncio.Event | None = None,
     ) -> Answer:
         """Return the final answer, or why the request is invalid.
 
-        ``gone`` is set when the caller disconnects.
+        ``disconnected`` is set when the caller disconnects.
         """
         if not self._configuration.loaded:
             return make_not_ready_result(req)
@@ -101,7 +101,9 @@
             return failure
         self._open_calls += 1
         try:
-            attempt = self._read_attempt(service, req, relayed=relayed, gone=gone)
+            attempt = self._read_attempt(
+                service, req, relayed=relayed, disconnected=disconnected
+            )
             if req.idempotent:
                 return await self._answer_idempotent(attempt)
             return await self._answer_once(attempt)
@@ -128,7 +130,7 @@
         req: ServiceRequest,
         *,
         relayed: bool,
-        gone: asyncio.Event | None,
+        disconnected: asyncio.Event | None,
     ) -> Attempt:
         steering = find_steering(
             self._configuration.current,
@@ -147,7 +149,7 @@
             steering,
             self._clock.read_monotonic() + req.deadline_ms / 1000,
             relayed,
-            gone,
+            disconnected,
         )
 
     async def _answer_idempotent(self, attempt: Attempt) -> Answer:
@@ -159,9 +161,9 @@
         if isinstance(pending, Failure):
             return make_not_run_result(attempt.request_id, pending)
         gone_watcher = None
-        if attempt.gone is not None:
+        if attempt.disconnected is not None:
             gone_watcher = self._tasks.spawn(
-                self._end_when_gone(attempt.gone, pending), name="caller-gone"
+                self._end_when_gone(attempt.disconnected, pending), name="caller-gone"
             )
         try:
             result = await self._wait_until_deadline(pending.final, attempt)
@@ -171,9 +173,9 @@
         return result or make_late_result(attempt)
 
     async def _end_when_gone(
-        self, gone: asyncio.Event, pending: PendingRequest
+        self, disconnected: asyncio.Event, pending: PendingRequest
     ) -> None:
-        await gone.wait()
+        await disconnected.wait()
         self._dispatcher.end_queued(pending)
 
     async def _answer_once(self, attempt: Attempt) -> Answer:
@@ -266,7 +268,7 @@
     async def _run(
         self, attempt: Attempt, owner: OwnedHere, known: KnownRequest
     ) -> RequestResult:
-        if attempt.gone is not None and attempt.gone.is_set():
+        if attempt.disconnected is not None and attempt.disconnected.is_set():
             # The request may have been read late, after a pause of this process.
             # Its caller may have retried elsewhere and been answered "not run".
             reason = "the caller disconnected before the request was queued"
--- a/src/firladder/_internal/gateway/routes.py
+++ b/src/firladder/_internal/gateway/routes.py
@@ -71,7 +71,9 @@
     if isinstance(req, Failure):
         return reply_failure(req)
     started = app.clock.read_monotonic()
-    result = await app.requests.answer(call.params["service"], req, gone=call.gone)
+    result = await app.requests.answer(
+        call.params["service"], req, disconnected=call.disconnected
+    )
     if isinstance(result, Failure):
         return reply_failure(result)
     app.metrics.count_request(result, app.clock.read_monotonic() - started)
--- a/src/firladder/_internal/network/http_server.py
+++ b/src/firladder/_internal/network/http_server.py
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpCall:
-    """One request to a handler; ``gone`` is set when its client disconnects."""
+    """One request to a handler; ``disconnected`` is set when its client disconnects."""
 
     method: str
     path: str
@@ -47,7 +47,7 @@
     headers: dict[str, str]
     body: bytes
     source_ip: str
-    gone: asyncio.Event
+    disconnected: asyncio.Event
     transport: Any
 
 
@@ -133,11 +133,11 @@
             # The connection was lost before this task started; the request's body
             # is already closed.
             return
-        gone = asyncio.Event()
+        disconnected = asyncio.Event()
         finished = request.notifyFinish()
-        finished.addBoth(lambda _: gone.set())
-        reply = await self._call(request, gone)
-        if gone.is_set():
+        finished.addBoth(lambda _: disconnected.set())
+        reply = await self._call(request, disconnected)
+        if disconnected.is_set():
             return
         request.setResponseCode(reply.status)
         request.setHeader("Content-Type", reply.content_type)
@@ -148,13 +148,13 @@
             # that is about to exit.
             request.setHeader("Connection", "close")
         if reply.stream is not None:
-            await _write_stream(request, reply.stream, gone)
+            await _write_stream(request, reply.stream, disconnected)
             return
         request.setHeader("Content-Length", str(len(reply.body)))
         request.write(reply.body)
         request.finish()
 
-    async def _call(self, request: Request, gone: asyncio.Event) -> HttpReply:
+    async def _call(self, request: Request, disconnected: asyncio.Event) -> HttpReply:
         path = request.path.decode("utf-8", "replace")
         found = self._routes.find(request.method.decode("latin-1"), path)
         if isinstance(found, Failure):
@@ -168,7 +168,7 @@
             _read_headers(request),
             request.content.read(),
             str(request.getClientAddress().host),
-            gone,
+            disconnected,
             request.transport,
         )
         try:
@@ -182,13 +182,13 @@
 
 
 async def _write_stream(
-    request: Request, stream: AsyncIterator[bytes], gone: asyncio.Event
+    request: Request, stream: AsyncIterator[bytes], disconnected: asyncio.Event
 ) -> None:
     async for chunk in stream:
-        if gone.is_set():
+        if disconnected.is_set():
             return
         request.write(chunk)
-    if not gone.is_set():
+    if not disconnected.is_set():
         request.finish()
 
 
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -128,7 +128,7 @@
         self.store.calls += 1
         faults = self.store.faults
         if faults.silent:
-            await call.gone.wait()
+            await call.disconnected.wait()
         if faults.busy or call.source_ip in faults.turned_away:
             return HttpReply(503)
         await asyncio.sleep(faults.delay_s)
@@ -216,7 +216,7 @@
         revision = await store.apply(body["puts"], body["remove"])
         reply = reply_json({"revision": revision})
     if lost:
-        await call.gone.wait()
+        await call.disconnected.wait()
     return reply
 
 
--- a/standins/platform_workers.py
+++ b/standins/platform_workers.py
@@ -222,7 +222,7 @@
     async def apply_faults(self, call: HttpCall) -> bool:
         """Apply the faults; return whether the answer must be withheld."""
         if self.faults.silent:
-            await call.gone.wait()
+            await call.disconnected.wait()
             return True
         if self.rng.random() < self.faults.late_share:
             await asyncio.sleep(self.faults.late_s)
@@ -237,7 +237,7 @@
     withheld = await worker.apply_faults(call)
     reply = worker.check_call(call, body["fencing_token"]) or _start_run(worker, body)
     if withheld:
-        await call.gone.wait()
+        await call.disconnected.wait()
     return reply
 
 
@@ -272,7 +272,7 @@
             await worker.end(key, "stopped")
         reply = worker.reply()
     if withheld:
-        await call.gone.wait()
+        await call.disconnected.wait()
     return reply
 
 
@@ -281,7 +281,7 @@
     """Extend the lease and return the running and ended runs, waiting for an end."""
     body = msgspec.json.decode(call.body)
     if worker.faults.silent:
-        await call.gone.wait()
+        await call.disconnected.wait()
     refused = worker.check_call(call, body["fencing_token"])
     if refused is not None:
         return refused
--- a/standins/store.py
+++ b/standins/store.py
@@ -121,7 +121,7 @@
 async def _admit(store: Store, call: HttpCall, kind: str) -> HttpReply | None:
     store.calls[kind] += 1
     if any(call.source_ip.startswith(p) for p in store.faults.cut):
-        await call.gone.wait()
+        await call.disconnected.wait()
     if store.faults.delay_s:
         await asyncio.sleep(store.faults.delay_s)
     if store.faults.outage:
@@ -132,7 +132,7 @@
 async def _stall(store: Store, call: HttpCall, keys: list[str]) -> None:
     prefix = store.faults.stall_prefix
     if prefix and any(key.startswith(prefix) for key in keys):
-        await call.gone.wait()
+        await call.disconnected.wait()
 
 
 async def _lose_answer(store: Store, call: HttpCall, keys: list[str]) -> None:
@@ -140,7 +140,7 @@
     if store.faults.lose_answers > 0 and matched:
         # The write took effect, but its caller gets no answer.
         store.faults.lose_answers -= 1
-        await call.gone.wait()
+        await call.disconnected.wait()
 
 
 @routes.route("POST", "/v3/kv/range")
@@ -251,9 +251,9 @@
     store.watching += 1
     try:
         yield _encode_line({"header": _header(store), "created": True})
-        while not call.gone.is_set() and not store.faults.outage:
+        while not call.disconnected.is_set() and not store.faults.outage:
             if any(call.source_ip.startswith(p) for p in store.faults.cut):
-                await call.gone.wait()
+                await call.disconnected.wait()
                 return
             for revision, events in _list_since(store, position):
                 wanted = [
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -206,7 +206,7 @@
 
 async def _admit(worker: Worker, call: HttpCall) -> None:
     if any(call.source_ip.startswith(p) for p in worker.behaviour.cut):
-        await call.gone.wait()
+        await call.disconnected.wait()
     if worker.behaviour.delay_s:
         await asyncio.sleep(worker.behaviour.delay_s)
     await worker.end_due()
