--- a/src/firladder/_internal/etcd/targets.py
+++ b/src/firladder/_internal/etcd/targets.py
@@ -30,7 +30,7 @@
         """Keep connections open for idempotent requests only."""
         self._pooled = HttpClient(max_idle_per_host=8, source_ip=source_ip)
         # A target may close an idle connection just as a request is sent on it. The
-        # client of a request that must not run twice would then get "unknown"
+        # caller of a request that must not run twice would then get "unknown"
         # although it did not run. A new connection costs one round trip and
         # distinguishes a refused request from a lost one.
         self._unpooled = HttpClient(persistent=False, source_ip=source_ip)
@@ -57,7 +57,7 @@
         if not isinstance(response, HttpResponse):
             return response
         if response.headers.get(REQUEST_ID_HEADER) != request_id:
-            # A target that mixes up its responses would send one client's result to
+            # A target that mixes up its responses would send one caller's result to
             # another. The echoed id reveals that.
             return SentUnanswered(reason="the response belongs to another request")
         if response.status == 503 and response.headers.get("x-not-run") == "1":
--- a/src/firladder/_internal/etcd/workers.py
+++ b/src/firladder/_internal/etcd/workers.py
@@ -71,7 +71,7 @@
     async def follow(
         self, address: str, *, since: int, wait_s: float
     ) -> TaskReport | WorkerFailure:
-        """Return the tasks that changed after ``since``, waiting up to ``wait_s``."""
+        """Poll a worker, up to ``wait_s``, for tasks that changed after ``since``."""
         response = await self._http.call(
             "GET",
             f"http://{address}/tasks?since={since}&wait_s={wait_s}",
--- a/src/firladder/_internal/gateway/requests.py
+++ b/src/firladder/_internal/gateway/requests.py
@@ -160,17 +160,17 @@
         pending = self._submit(attempt)
         if isinstance(pending, Failure):
             return make_not_run_result(attempt.request_id, pending)
-        gone_watcher = None
+        disconnect_watcher = None
         if attempt.disconnected is not None:
-            gone_watcher = self._tasks.spawn(
+            disconnect_watcher = self._tasks.spawn(
                 self._end_when_disconnected(attempt.disconnected, pending),
                 name="caller-gone",
             )
         try:
             result = await self._wait_until_deadline(pending.final, attempt)
         finally:
-            if gone_watcher is not None:
-                gone_watcher.cancel()
+            if disconnect_watcher is not None:
+                disconnect_watcher.cancel()
         return result or make_late_result(attempt)
 
     async def _end_when_disconnected(
--- a/src/firladder/_internal/models/task.py
+++ b/src/firladder/_internal/models/task.py
@@ -27,7 +27,10 @@
 
 
 class StartTask(msgspec.Struct, frozen=True):
-    """Start a held task; its lease stays short until the task is confirmed."""
+    """Body of the calls that start a held task or checkpoint a running one.
+
+    A started task has a short lease until it is confirmed.
+    """
 
     epoch: int
 
--- a/src/firladder/_internal/scheduler/accounting.py
+++ b/src/firladder/_internal/scheduler/accounting.py
@@ -25,7 +25,11 @@
 
 @dataclasses.dataclass(slots=True)
 class WorkerState:
-    """A worker and its tasks, as far as this leader knows."""
+    """A worker and its tasks, as far as this leader knows.
+
+    ``ended`` holds tasks reported as ended before the worker was claimed: a takeover
+    needs them to find out whether a gang is complete.
+    """
 
     machine: Machine
     claimed: bool = False
@@ -49,7 +53,11 @@
 
 @dataclasses.dataclass(slots=True)
 class GangState:
-    """A gang that this leader starts or runs, and whether it is being stopped."""
+    """A gang that this leader starts or runs, and whether it is being stopped.
+
+    ``cell`` names the guaranteed cell that the gang runs in, and ``preempted_for`` the
+    job for which it was preempted.
+    """
 
     record: JobRecord
     members: tuple[Member, ...]
--- a/src/firladder/_internal/scheduler/ledger.py
+++ b/src/firladder/_internal/scheduler/ledger.py
@@ -130,7 +130,7 @@
                 return StoreConflict(reason="another leader has been elected")
             # Take what was read even if it is older than the copy here, as after
             # a restore of the store. Comparing with a revision that the store no
-            # longer has would fail for ever.
+            # longer has would fail forever.
             self._revisions.pop(key, None)
             self._apply(found)
 
--- a/src/firladder/_internal/scheduler/members.py
+++ b/src/firladder/_internal/scheduler/members.py
@@ -25,7 +25,7 @@
 AVOID_S = 60.0
 """How long a job avoids a worker on which one of its members failed. A faulty worker
 is in quarantine by then. If this never ended, a gang that needs both workers of a
-failure domain with two would wait for ever after one failure."""
+failure domain with two would wait forever after one failure."""
 
 
 class GangMembers:
